--- a/crates/bench/benches/placement.rs
+++ b/crates/bench/benches/placement.rs
@@ -3,7 +3,7 @@
 use bulrushhall_core::Stamp;
 use bulrushhall_policy::{
     Placement, PlacementOptions, PlacementRequest, WorkerKey, WorkerView,
-    placement::{Predicted, subset},
+    placement::{PredictedLatency, subset},
     prefix::block_hashes,
 };
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
@@ -43,7 +43,7 @@
 
 fn place(c: &mut Criterion, name: &str, workers: &[WorkerView]) {
     let requests = requests();
-    let mut placement = Predicted::new(PlacementOptions::default());
+    let mut placement = PredictedLatency::new(PlacementOptions::default());
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut next = 0;
     c.bench_function(name, |b| {
--- a/crates/bench/src/capacity/measure/decision.rs
+++ b/crates/bench/src/capacity/measure/decision.rs
@@ -54,5 +54,5 @@
 
 fn view(key: WorkerKey) -> WorkerView {
     let price = 90_000;
-    WorkerView { key, price, distance: Duration::from_millis(1), ..WorkerView::default() }
+    WorkerView { key, price, network_latency: Duration::from_millis(1), ..WorkerView::default() }
 }
--- a/crates/bench/src/policy/cluster.rs
+++ b/crates/bench/src/policy/cluster.rs
@@ -232,7 +232,7 @@
         self.count(now, outcome);
         let machine = self.machines.remove(key)?;
         if let Some(planner) = &mut self.planner {
-            planner.handle(now, FleetEvent::Gone(machine.vm.clone()));
+            planner.handle(now, FleetEvent::Removed(machine.vm.clone()));
         }
         outcome.recomputed += machine.engine.totals().1;
         outcome.computed += machine.engine.totals().0;
--- a/crates/bench/src/policy/mod.rs
+++ b/crates/bench/src/policy/mod.rs
@@ -1,6 +1,6 @@
 //! The policy machines under load and faults, driven in virtual time.
 //!
-//! Engines are the stand-in's state machines, nodes are [`bulrushhall_policy::Lane`]s, and the
+//! Engines are the stand-in's state machines, nodes are [`bulrushhall_policy::Scheduler`]s, and the
 //! fleet is bought by a [`bulrushhall_policy::FleetPlanner`]. Nothing sleeps and nothing is drawn
 //! from a clock, so a seed gives the same figures every time.
 
--- a/crates/bench/src/policy/simulation.rs
+++ b/crates/bench/src/policy/simulation.rs
@@ -9,9 +9,9 @@
 use bulrushhall_core::{Fence, Incarnation, ModelName, RequestId, Stamp, TeamName};
 use bulrushhall_external::engine::{Frame, Generate};
 use bulrushhall_policy::{
-    AdmissionOptions, Fate, Lane, LaneAction, LaneOptions, LoadReport, MoveOptions,
-    PlacementOptions, PlacementRegistry, PlacementRequest, Ticket, Wait, WorkerKey, WorkerView,
-    plan_moves, prefix::block_hashes, reclaim::Running,
+    AdmissionOptions, AdmissionRequest, LoadReport, MoveDecision, MoveOptions, PlacementOptions,
+    PlacementRegistry, PlacementRequest, Scheduler, SchedulerAction, SchedulerOptions, Ticket,
+    WorkerKey, WorkerView, plan_moves, prefix::block_hashes, reclaim::RunningRequest,
 };
 use bulrushhall_standin::engine::Output;
 use rand::{RngExt, SeedableRng};
@@ -33,7 +33,7 @@
 const WARM: Stamp = Stamp::from_millis(10_000);
 /// The steps between two reports of load.
 const REPORT_STEPS: u64 = 125;
-/// The steps between two ticks of the lanes.
+/// The steps between two ticks of the schedulers.
 const TICK_STEPS: u64 = 25;
 /// The steps between two looks of the planner.
 const PLAN_STEPS: u64 = 250;
@@ -82,7 +82,7 @@
     random: Pcg64Mcg,
     workload: Peekable<Workload>,
     cluster: Cluster,
-    lanes: Vec<Lane>,
+    schedulers: Vec<Scheduler>,
     tickets: Vec<BTreeMap<Ticket, u64>>,
     requests: BTreeMap<u64, Request>,
     next_request: u64,
@@ -109,7 +109,7 @@
 
 impl Simulation {
     fn new(spec: &DeploymentSpec, setup: Setup, scenario: Scenario, seed: u64) -> Simulation {
-        let options = LaneOptions {
+        let options = SchedulerOptions {
             admission: AdmissionOptions::default(),
             placement: PlacementOptions {
                 cost: spec.cost,
@@ -119,11 +119,11 @@
             nodes: spec.nodes,
         };
         let registry = PlacementRegistry::default();
-        let mut lanes = Vec::new();
+        let mut schedulers = Vec::new();
         for _ in 0..spec.nodes {
             let placement = registry.make(setup.placement, &options.placement);
             let placement = placement.unwrap_or_else(|| unreachable!("a registered placement"));
-            lanes.push(Lane::with_placement(options.clone(), placement));
+            schedulers.push(Scheduler::with_placement(options.clone(), placement));
         }
         let names = ["kilns", "archive", "glaze", "church", "studio"];
         let faulty = !scenario.faults().is_empty() || scenario == Scenario::Burst;
@@ -136,8 +136,8 @@
             random: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed),
             workload: Workload::new(spec, scenario, seed).peekable(),
             cluster: Cluster::new(spec, &setup),
-            tickets: vec![BTreeMap::new(); lanes.len()],
-            lanes,
+            tickets: vec![BTreeMap::new(); schedulers.len()],
+            schedulers,
             requests: BTreeMap::new(),
             next_request: 0,
             late: BTreeMap::new(),
@@ -168,8 +168,8 @@
             self.report();
         }
         if self.steps.is_multiple_of(TICK_STEPS) {
-            for node in 0..self.lanes.len() {
-                let actions = self.lanes[node].tick(self.now, &mut self.random);
+            for node in 0..self.schedulers.len() {
+                let actions = self.schedulers[node].tick(self.now, &mut self.random);
                 self.carry_out(node, actions);
             }
         }
@@ -196,7 +196,7 @@
         }
         let number = self.next_request;
         self.next_request += 1;
-        let node = self.random.random_range(0..self.lanes.len());
+        let node = self.random.random_range(0..self.schedulers.len());
         self.requests.insert(
             number,
             Request {
@@ -220,7 +220,7 @@
         let Arrival { at, team, priority, ref prompt, prompt_tokens, max_tokens } = request.arrival;
         let emitted = u32::try_from(request.emitted.len()).unwrap_or(u32::MAX);
         let deadline = if priority == 0 { URGENT_DEADLINE } else { PATIENT_DEADLINE };
-        let wait = Wait {
+        let wait = AdmissionRequest {
             team: self.teams[team].clone(),
             priority,
             tokens: prompt_tokens + max_tokens,
@@ -236,7 +236,7 @@
             ..PlacementRequest::default()
         };
         let node = request.node;
-        let (ticket, actions) = self.lanes[node].submit(self.now, wait, req, &mut self.random);
+        let (ticket, actions) = self.schedulers[node].submit(self.now, wait, req, &mut self.random);
         self.tickets[node].insert(ticket, number);
         if let Some(request) = self.requests.get_mut(&number) {
             request.ticket = Some(ticket);
@@ -244,20 +244,20 @@
         self.carry_out(node, actions);
     }
 
-    fn carry_out(&mut self, node: usize, actions: Vec<LaneAction>) {
+    fn carry_out(&mut self, node: usize, actions: Vec<SchedulerAction>) {
         for action in actions {
             match action {
-                LaneAction::Accept(_) => {}
-                LaneAction::Refuse(ticket, _) => {
+                SchedulerAction::Accept(_) => {}
+                SchedulerAction::Refuse(ticket, _) => {
                     self.outcome.refused += 1;
                     self.drop_request(node, ticket);
                 }
-                LaneAction::Expire(ticket) => {
+                SchedulerAction::Expire(ticket) => {
                     self.outcome.expired += 1;
                     self.drop_request(node, ticket);
                 }
-                LaneAction::Start(ticket, key) => self.start(node, ticket, key),
-                LaneAction::Nowhere(ticket) => {
+                SchedulerAction::Start(ticket, key) => self.start(node, ticket, key),
+                SchedulerAction::NoWorker(ticket) => {
                     let Some(number) = self.tickets[node].get(&ticket).copied() else { continue };
                     if let Some(request) = self.requests.get_mut(&number) {
                         request.attempt += 1;
@@ -277,7 +277,7 @@
     fn start(&mut self, node: usize, ticket: Ticket, to: WorkerKey) {
         let Some(&number) = self.tickets[node].get(&ticket) else {
             // It ended on its old engine while it waited for a new one.
-            let actions = self.lanes[node].finished(self.now, ticket, &mut self.random);
+            let actions = self.schedulers[node].finished(self.now, ticket, &mut self.random);
             self.carry_out(node, actions);
             return;
         };
@@ -363,7 +363,7 @@
         }
         let (node, ticket) = (request.node, request.ticket);
         if let Some(ticket) = ticket {
-            self.lanes[node].first_token(self.now, ticket);
+            self.schedulers[node].first_token(self.now, ticket);
         }
     }
 
@@ -372,7 +372,7 @@
         let node = request.node;
         let Some(ticket) = request.ticket.take() else { return };
         self.tickets[node].remove(&ticket);
-        let actions = self.lanes[node].finished(self.now, ticket, &mut self.random);
+        let actions = self.schedulers[node].finished(self.now, ticket, &mut self.random);
         self.carry_out(node, actions);
     }
 
@@ -388,7 +388,7 @@
     }
 
     fn set_workers(&mut self) {
-        for node in 0..self.lanes.len() {
+        for node in 0..self.schedulers.len() {
             let mut views = Vec::new();
             for machine in self.cluster.machines.values() {
                 if self.now < machine.ready_at {
@@ -398,7 +398,7 @@
                     key: machine.key,
                     identity: xxh3_64(machine.vm.as_str().as_bytes()),
                     open: !machine.leaving,
-                    distance: self.distance(node, machine.key),
+                    network_latency: self.distance(node, machine.key),
                     slots: 24,
                     price: self.cluster.price(machine),
                     reclaimable: machine.gone_at.is_none(),
@@ -406,14 +406,14 @@
                     ..WorkerView::default()
                 });
             }
-            let actions = self.lanes[node].set_workers(self.now, views, &mut self.random);
+            let actions = self.schedulers[node].set_workers(self.now, views, &mut self.random);
             self.carry_out(node, actions);
         }
     }
 
     fn close(&mut self, key: WorkerKey) {
-        for node in 0..self.lanes.len() {
-            let actions = self.lanes[node].close(self.now, key, &mut self.random);
+        for node in 0..self.schedulers.len() {
+            let actions = self.schedulers[node].close(self.now, key, &mut self.random);
             self.carry_out(node, actions);
         }
     }
@@ -427,13 +427,13 @@
         let Some(machine) = self.cluster.machines.get(key) else { return };
         let step = Duration::from_micros(machine.load().step_micros.into());
         let on_it = self.requests.iter().filter(|(_, request)| request.on == Some(key));
-        let running: Vec<Running<u64>> = on_it
+        let running: Vec<RunningRequest<u64>> = on_it
             .map(|(number, request)| {
                 let emitted = u32::try_from(request.emitted.len()).unwrap_or(u32::MAX);
-                Running {
+                RunningRequest {
                     key: *number,
                     tokens: request.arrival.prompt_tokens + emitted,
-                    held_there: 0,
+                    cached_at_target: 0,
                     remaining: step * (request.arrival.max_tokens - emitted),
                 }
             })
@@ -441,7 +441,7 @@
         let options = MoveOptions { recomputed: self.spec.recomputed, ..MoveOptions::default() };
         let left = NOTICE.saturating_sub(NOTICE_SPREAD);
         for (number, fate) in plan_moves(left, &running, &options) {
-            let Fate::Move(span) = fate else { continue };
+            let MoveDecision::Move(span) = fate else { continue };
             self.finish_ticket(number);
             if let Some(request) = self.requests.get_mut(&number) {
                 request.attempt += 1;
@@ -524,15 +524,15 @@
             }
             match entry.remove() {
                 Late::Report(key, report) => {
-                    for node in 0..self.lanes.len() {
-                        let lane = &mut self.lanes[node];
-                        let actions = lane.report(self.now, key, report, &mut self.random);
+                    for node in 0..self.schedulers.len() {
+                        let scheduler = &mut self.schedulers[node];
+                        let actions = scheduler.report(self.now, key, report, &mut self.random);
                         self.carry_out(node, actions);
                     }
                 }
                 Late::Cache(key, block, held) => {
-                    for lane in &mut self.lanes {
-                        lane.note_cache(key, block, held);
+                    for scheduler in &mut self.schedulers {
+                        scheduler.note_cache(key, block, held);
                     }
                 }
                 Late::Act(key) => self.act_on_notice(key),
--- a/crates/daemon/src/backends.rs
+++ b/crates/daemon/src/backends.rs
@@ -143,7 +143,7 @@
                 key,
                 identity: xxh3_64(backend.vm.as_str().as_bytes()),
                 open: !self.is_closed(&backend.vm),
-                distance: if near { Duration::ZERO } else { OTHER_ZONE_DISTANCE },
+                network_latency: if near { Duration::ZERO } else { OTHER_ZONE_DISTANCE },
                 slots,
                 ..WorkerView::default()
             });
--- a/crates/daemon/src/callers/admit.rs
+++ b/crates/daemon/src/callers/admit.rs
@@ -4,7 +4,9 @@
 
 use bulrushhall_coord::{Copied, Version};
 use bulrushhall_core::{Ran, TeamName};
-use bulrushhall_policy::{PlacementRequest, Ticket, Wait, WorkerKey, prefix::block_hashes};
+use bulrushhall_policy::{
+    AdmissionRequest, PlacementRequest, Ticket, WorkerKey, prefix::block_hashes,
+};
 use tokio::sync::oneshot;
 use tracing::Instrument;
 
@@ -101,7 +103,7 @@
     let (start_tx, start) = oneshot::channel();
     let submit = Submit {
         service: request.service.clone(),
-        wait: Wait {
+        admission: AdmissionRequest {
             team: team.clone(),
             priority: request.priority,
             tokens: request.prompt_tokens + request.max_tokens,
--- a/crates/daemon/src/callers/limit.rs
+++ b/crates/daemon/src/callers/limit.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bulrushhall_core::TeamName;
-use bulrushhall_policy::team_limits::{Gate, Limited, TeamLimit};
+use bulrushhall_policy::team_limits::{LimitExceeded, TeamLimit, TeamLimiter};
 
 use crate::{
     callers::{ApiCode, ApiError, classify::Classified},
@@ -32,7 +32,8 @@
             let members = cx.members.current();
             let nodes = members.iter().filter(|member| !member.leaving).count() + 1;
             let now = cx.clock.now();
-            let entered = gate(cx, |gate| gate.enter(now, team, limits, nodes, tokens));
+            let entered =
+                with_limiter(cx, |limiter| limiter.admit(now, team, limits, nodes, tokens));
             entered.map_err(refused)?;
         }
         Ok(Place { cx: Arc::clone(cx), team: team.clone(), tokens, accepted: false })
@@ -46,22 +47,22 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        gate(&self.cx, |gate| match self.accepted {
-            true => gate.leave(&self.team),
-            false => gate.withdraw(&self.team, self.tokens),
+        with_limiter(&self.cx, |limiter| match self.accepted {
+            true => limiter.release(&self.team),
+            false => limiter.refund(&self.team, self.tokens),
         });
     }
 }
 
-fn gate<T>(cx: &Context, act: impl FnOnce(&mut Gate) -> T) -> T {
-    act(&mut cx.gate.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
+fn with_limiter<T>(cx: &Context, act: impl FnOnce(&mut TeamLimiter) -> T) -> T {
+    act(&mut cx.team_limiter.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
 }
 
-fn refused(limited: Limited) -> ApiError {
+fn refused(limited: LimitExceeded) -> ApiError {
     let what = match limited.limit {
-        TeamLimit::AtOnce => "the team has too many requests at once",
+        TeamLimit::Concurrency => "the team has too many requests at once",
         TeamLimit::Requests => "the team has sent too many requests",
         TeamLimit::Tokens => "the team has asked for too many tokens",
     };
-    ApiError::not_run(ApiCode::TeamLimit, what).retry_after(limited.after)
+    ApiError::not_run(ApiCode::TeamLimit, what).retry_after(limited.retry_after)
 }
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -13,7 +13,7 @@
 use bulrushhall_coord::{CallBudget, Ledger, Notices, Purpose, Source};
 use bulrushhall_core::{Deployment, Incarnation, RequestId, Revision, Stamp, VmName};
 use bulrushhall_external::KeyValue;
-use bulrushhall_policy::team_limits::Gate;
+use bulrushhall_policy::team_limits::TeamLimiter;
 use bytes::Bytes;
 use tokio::sync::{mpsc, watch};
 use xtra::Address;
@@ -72,7 +72,7 @@
     /// The claims of non-repeatable calls.
     pub ledger: Mutex<Ledger>,
     /// What the teams have taken of their limits.
-    pub gate: Mutex<Gate>,
+    pub team_limiter: Mutex<TeamLimiter>,
     /// What the node counts and measures.
     pub meters: Arc<Meters>,
     /// The platform's key-value service, where one is set.
--- a/crates/daemon/src/dispatcher.rs
+++ b/crates/daemon/src/dispatcher.rs
@@ -7,8 +7,8 @@
 
 use bulrushhall_core::{ServiceName, Stamp, TeamName, config::Weights};
 use bulrushhall_policy::{
-    Lane, LaneAction, LaneOptions, LoadReport, PlacementOptions, PlacementRequest, Ticket, Wait,
-    WorkerKey, WorkerView,
+    AdmissionRequest, LoadReport, PlacementOptions, PlacementRequest, Scheduler, SchedulerAction,
+    SchedulerOptions, Ticket, WorkerKey, WorkerView,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -27,7 +27,7 @@
 }
 
 struct Service {
-    lane: Lane,
+    scheduler: Scheduler,
     weights: Weights,
     waiting: HashMap<Ticket, Waiting>,
 }
@@ -62,7 +62,7 @@
     /// The service.
     pub service: ServiceName,
     /// What admission needs to know.
-    pub wait: Wait,
+    pub admission: AdmissionRequest,
     /// What placement needs to know.
     pub req: PlacementRequest,
     /// Gets the verdict.
@@ -160,28 +160,28 @@
         let nodes = self.nodes;
         self.services.entry(name.clone()).or_insert_with(|| {
             let weights = Weights::default();
-            Service { lane: new_lane(&weights, nodes), weights, waiting: HashMap::new() }
+            Service { scheduler: new_scheduler(&weights, nodes), weights, waiting: HashMap::new() }
         })
     }
 
-    fn carry_out(&mut self, service: &ServiceName, actions: Vec<LaneAction>) {
+    fn carry_out(&mut self, service: &ServiceName, actions: Vec<SchedulerAction>) {
         let Some(service) = self.services.get_mut(service) else { return };
         for action in actions {
             match action {
-                LaneAction::Accept(ticket) => {
+                SchedulerAction::Accept(ticket) => {
                     let waiting = service.waiting.get_mut(&ticket);
                     let tx = waiting.and_then(|waiting| waiting.accepted.take());
                     let Some(tx) = tx else { continue };
                     let _ = tx.send(Verdict::Accepted(ticket));
                 }
-                LaneAction::Refuse(ticket, after) => {
+                SchedulerAction::Refuse(ticket, after) => {
                     let waiting = service.waiting.remove(&ticket);
                     let Some(tx) = waiting.and_then(|waiting| waiting.accepted) else { continue };
                     let _ = tx.send(Verdict::Refused(after));
                 }
-                LaneAction::Start(ticket, key) => service.start(ticket, Start::On(key)),
-                LaneAction::Nowhere(ticket) => service.start(ticket, Start::Nowhere),
-                LaneAction::Expire(ticket) => service.start(ticket, Start::Expired),
+                SchedulerAction::Start(ticket, key) => service.start(ticket, Start::On(key)),
+                SchedulerAction::NoWorker(ticket) => service.start(ticket, Start::Nowhere),
+                SchedulerAction::Expire(ticket) => service.start(ticket, Start::Expired),
             }
         }
     }
@@ -211,7 +211,8 @@
         let now = self.clock.now();
         let mut random = self.random.clone();
         let service = self.service(&submit.service);
-        let (ticket, actions) = service.lane.submit(now, submit.wait, submit.req, &mut random);
+        let (ticket, actions) =
+            service.scheduler.submit(now, submit.admission, submit.req, &mut random);
         let waiting = Waiting { accepted: Some(submit.accepted), start: submit.start };
         service.waiting.insert(ticket, waiting);
         self.random = random;
@@ -223,8 +224,8 @@
     type Return = ();
 
     async fn handle(&mut self, finished: Finished, _cx: &mut Context<Self>) {
-        self.step(&finished.service, |lane, now, random| {
-            lane.finished(now, finished.ticket, random)
+        self.step(&finished.service, |scheduler, now, random| {
+            scheduler.finished(now, finished.ticket, random)
         });
     }
 }
@@ -234,7 +235,7 @@
 
     async fn handle(&mut self, first: FirstToken, _cx: &mut Context<Self>) {
         let now = self.clock.now();
-        self.service(&first.service).lane.first_token(now, first.ticket);
+        self.service(&first.service).scheduler.first_token(now, first.ticket);
     }
 }
 
@@ -244,14 +245,16 @@
     async fn handle(&mut self, set: SetWorkers, _cx: &mut Context<Self>) {
         let nodes = self.nodes;
         let service = self.service(&set.service);
-        // Waiting and running requests live in the lane, so that one with other weights may only
+        // Waiting and running requests live in the scheduler, so that one with other weights may only
         // take its place while it holds none.
-        if service.weights != set.weights && service.lane.is_idle() {
-            service.lane = new_lane(&set.weights, nodes);
+        if service.weights != set.weights && service.scheduler.is_idle() {
+            service.scheduler = new_scheduler(&set.weights, nodes);
             service.weights = set.weights;
         }
-        service.lane.set_shares(set.shares);
-        self.step(&set.service, |lane, now, random| lane.set_workers(now, set.workers, random));
+        service.scheduler.set_shares(set.shares);
+        self.step(&set.service, |scheduler, now, random| {
+            scheduler.set_workers(now, set.workers, random)
+        });
     }
 }
 
@@ -261,7 +264,7 @@
     async fn handle(&mut self, set: SetNodes, _cx: &mut Context<Self>) {
         self.nodes = set.0;
         for service in self.services.values_mut() {
-            service.lane.set_nodes(set.0);
+            service.scheduler.set_nodes(set.0);
         }
     }
 }
@@ -270,8 +273,8 @@
     type Return = ();
 
     async fn handle(&mut self, told: Report, _cx: &mut Context<Self>) {
-        self.step(&told.service, |lane, now, random| {
-            lane.report(now, told.key, told.report, random)
+        self.step(&told.service, |scheduler, now, random| {
+            scheduler.report(now, told.key, told.report, random)
         });
     }
 }
@@ -280,9 +283,9 @@
     type Return = ();
 
     async fn handle(&mut self, told: CacheChanges, _cx: &mut Context<Self>) {
-        let lane = &mut self.service(&told.service).lane;
+        let scheduler = &mut self.service(&told.service).scheduler;
         for (block, held) in told.changes {
-            lane.note_cache(told.key, block, held);
+            scheduler.note_cache(told.key, block, held);
         }
     }
 }
@@ -291,7 +294,7 @@
     type Return = ();
 
     async fn handle(&mut self, close: Close, _cx: &mut Context<Self>) {
-        self.step(&close.service, |lane, now, random| lane.close(now, close.key, random));
+        self.step(&close.service, |scheduler, now, random| scheduler.close(now, close.key, random));
     }
 }
 
@@ -301,7 +304,7 @@
     async fn handle(&mut self, _queues: Queues, _cx: &mut Context<Self>) -> Vec<QueueDepth> {
         let mut depths = Vec::new();
         for (service, state) in &self.services {
-            let admission = state.lane.admission();
+            let admission = state.scheduler.admission();
             let (waiting, running) = (admission.waiting(), admission.running());
             depths.push(QueueDepth { service: service.clone(), waiting, running });
         }
@@ -315,7 +318,7 @@
     async fn handle(&mut self, _tick: Tick, _cx: &mut Context<Self>) {
         let names: Vec<ServiceName> = self.services.keys().cloned().collect();
         for name in names {
-            self.step(&name, |lane, now, random| lane.tick(now, random));
+            self.step(&name, |scheduler, now, random| scheduler.tick(now, random));
         }
     }
 }
@@ -324,21 +327,21 @@
     fn step(
         &mut self,
         name: &ServiceName,
-        event: impl FnOnce(&mut Lane, Stamp, &mut Pcg64Mcg) -> Vec<LaneAction>,
+        event: impl FnOnce(&mut Scheduler, Stamp, &mut Pcg64Mcg) -> Vec<SchedulerAction>,
     ) {
         let now = self.clock.now();
         let mut random = self.random.clone();
-        let actions = event(&mut self.service(name).lane, now, &mut random);
+        let actions = event(&mut self.service(name).scheduler, now, &mut random);
         self.random = random;
         self.carry_out(name, actions);
     }
 }
 
-fn new_lane(weights: &Weights, nodes: usize) -> Lane {
+fn new_scheduler(weights: &Weights, nodes: usize) -> Scheduler {
     let placement = PlacementOptions {
         cost: weights.cost,
         recomputed: weights.recomputed,
         ..PlacementOptions::default()
     };
-    Lane::new(LaneOptions { placement, nodes, ..LaneOptions::default() })
+    Scheduler::new(SchedulerOptions { placement, nodes, ..SchedulerOptions::default() })
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -170,7 +170,7 @@
             } else if self.seen.remove(&vm) {
                 // The list shows new VMs late; only one that it has shown can be gone from it.
                 self.draining.remove(&vm);
-                self.feed(FleetEvent::Gone(vm)).await?;
+                self.feed(FleetEvent::Removed(vm)).await?;
             }
         }
         for action in self.feed(FleetEvent::Listed(listed)).await? {
@@ -270,7 +270,7 @@
             if gone {
                 tracing::info!(event = Event::VmReleased.number(), %vm);
                 self.draining.remove(&vm);
-                self.feed(FleetEvent::Gone(vm)).await?;
+                self.feed(FleetEvent::Removed(vm)).await?;
             }
         }
         Ok(())
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -96,7 +96,7 @@
             claimer: claimer.clone(),
             recomputed: Recomputed::default(),
             ledger: Mutex::new(Ledger::new(LedgerOptions::default())),
-            gate: Mutex::default(),
+            team_limiter: Mutex::default(),
             meters,
             key_value,
             members: Members::default(),
--- a/crates/daemon/tests/settings_page.rs
+++ b/crates/daemon/tests/settings_page.rs
@@ -129,5 +129,5 @@
     }
     let text = "[fleet]\nused_most = 0.8\n";
     let settings = RouteSettings::parse("node.ini", text).expect("valid settings");
-    assert_eq!(settings.fleet.staffing().used_most, 0.8);
+    assert_eq!(settings.fleet.sizing_rule().used_most, 0.8);
 }
--- a/crates/gateway/src/backends/backend.rs
+++ b/crates/gateway/src/backends/backend.rs
@@ -3,7 +3,9 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use bulrushhall_core::{Incarnation, Stamp};
-use bulrushhall_policy::{doubt::Doubt, parts::PartMemory, recent_parts::RecentParts};
+use bulrushhall_policy::{
+    circuit_breaker::CircuitBreaker, parts::CachedParts, recent_parts::RecentParts,
+};
 
 use crate::{
     backends::{Load, Pool},
@@ -33,9 +35,9 @@
     /// Whether another server answered at its address.
     pub replaced: bool,
     /// What outcomes tell about it.
-    pub doubt: Doubt,
+    pub circuit_breaker: CircuitBreaker,
     /// The parts of prompts that it is believed to keep.
-    pub parts: PartMemory,
+    pub parts: CachedParts,
     /// The parts of prompts that this node sent there lately.
     pub recent: RecentParts,
     /// The parts of prompts that others sent there lately, as they told it themselves.
@@ -62,8 +64,8 @@
             changed_at: 0,
             missing_until: None,
             replaced: false,
-            doubt: Doubt::default(),
-            parts: PartMemory::default(),
+            circuit_breaker: CircuitBreaker::default(),
+            parts: CachedParts::default(),
             recent: RecentParts::default(),
             recent_near: RecentParts::default(),
             recent_far: RecentParts::default(),
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bulrushhall_core::Stamp;
-use bulrushhall_policy::observed::EnginePace;
+use bulrushhall_policy::observed::EngineLatencyModel;
 use serde::{Deserialize, Serialize};
 
 /// The time over which the demand is averaged: longer than a burst of a few requests, shorter than
@@ -34,9 +34,9 @@
     }
 
     /// Returns the engines that are kept busy all the time with it.
-    pub fn busy(self, pace: &EnginePace, slots: u32) -> f64 {
+    pub fn busy(self, pace: &EngineLatencyModel, slots: u32) -> f64 {
         let batch = (f64::from(slots) * BATCH_SHARE).max(1.0);
-        (pace.read_ms(self.read) + pace.answer_work_ms(self.answer, batch)) / 1_000.0
+        (pace.prefill_ms(self.read) + pace.decode_work_ms(self.answer, batch)) / 1_000.0
     }
 }
 
--- a/crates/gateway/src/duties/fleet.rs
+++ b/crates/gateway/src/duties/fleet.rs
@@ -7,7 +7,7 @@
 
 use bulrushhall_core::{Event, ServiceName, ZoneName};
 use bulrushhall_external::CallError;
-use bulrushhall_policy::fleet_counts::{CountLimits, CountOrder, CountPlanner, Seen};
+use bulrushhall_policy::fleet_counts::{CountLimits, CountOrder, CountPlanner, ZoneServers};
 
 use crate::{
     clock,
@@ -33,7 +33,7 @@
     service: &'a ServiceName,
     limits: &'a CountLimits,
     busy: f64,
-    seen: BTreeMap<ZoneName, Seen>,
+    seen: BTreeMap<ZoneName, ZoneServers>,
 }
 
 /// A `FleetDuty` orders as many backend servers as the demand asks for.
@@ -51,7 +51,7 @@
             let Some(authority) = holder.authority() else { return };
             match within(ORDER_TIMEOUT, orders.order(&authority, &service, &order)).await {
                 Ok(()) => {
-                    let pace = gateway.with(|state| state.observed(&service).engines.pace());
+                    let pace = gateway.with(|state| state.observed(&service).engines.model());
                     tracing::info!(
                         event = Event::CountOrdered.number(),
                         service = service.as_str(),
@@ -60,7 +60,7 @@
                         count = order.count,
                         planned_for = self.planned_for(&service),
                         busy,
-                        read_per_ms = pace.read_per_ms(),
+                        read_per_ms = pace.prefill_tokens_per_ms(),
                         event_ms = pace.gap.base,
                         event_ms_more = pace.gap.slope,
                         event_tokens = pace.event_tokens,
@@ -82,8 +82,8 @@
     }
 
     fn planner(&mut self, gateway: &Gateway, service: &ServiceName) -> &mut CountPlanner {
-        let staffing = || CountPlanner::new(gateway.settings.fleet.staffing());
-        self.planners.entry(service.clone()).or_insert_with(staffing)
+        let new = || CountPlanner::new(gateway.settings.fleet.sizing_rule());
+        self.planners.entry(service.clone()).or_insert_with(new)
     }
 
     fn due(&mut self, gateway: &Gateway, table: &RouteTable) -> Vec<DueOrder> {
@@ -142,11 +142,11 @@
     }
     let held: u64 = state.backends.open(service).map(|(_, backend)| backend.held(now)).sum();
     let memory = held as f64 / (sizes.memory.max(1) as f64 * MEMORY_SHARE);
-    offered.busy(&state.observed(service).engines.pace(), sizes.slots).max(memory)
+    offered.busy(&state.observed(service).engines.model(), sizes.slots).max(memory)
 }
 
-fn seen(state: &State, service: &ServiceName) -> BTreeMap<ZoneName, Seen> {
-    let mut seen: BTreeMap<ZoneName, Seen> = BTreeMap::new();
+fn seen(state: &State, service: &ServiceName) -> BTreeMap<ZoneName, ZoneServers> {
+    let mut seen: BTreeMap<ZoneName, ZoneServers> = BTreeMap::new();
     for (_, backend) in state.backends.iter() {
         if backend.record.service != *service {
             continue;
--- a/crates/gateway/src/fleet_settings.rs
+++ b/crates/gateway/src/fleet_settings.rs
@@ -1,7 +1,7 @@
 //! How many engines a node orders for a demand, as its INI file tells.
 
 use bulrushhall_core::config::{Problem, Section};
-use bulrushhall_policy::fleet_counts::Staffing;
+use bulrushhall_policy::fleet_counts::SizingRule;
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
 
@@ -34,9 +34,9 @@
 
 impl FleetSettings {
     /// Returns how many engines a demand needs.
-    pub fn staffing(&self) -> Staffing {
+    pub fn sizing_rule(&self) -> SizingRule {
         let FleetSettings { used_most, spread, kept_starts, stand_in_starts } = *self;
-        Staffing { used_most, spread, kept_starts, stand_in_starts }
+        SizingRule { used_most, spread, kept_starts, stand_in_starts }
     }
 
     /// Returns what is wrong with the values.
@@ -65,7 +65,7 @@
 
 impl Default for FleetSettings {
     fn default() -> Self {
-        let Staffing { used_most, spread, kept_starts, stand_in_starts } = Staffing::default();
+        let SizingRule { used_most, spread, kept_starts, stand_in_starts } = SizingRule::default();
         FleetSettings { used_most, spread, kept_starts, stand_in_starts }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -14,7 +14,7 @@
 use bulrushhall_external::KeyValue;
 use bulrushhall_policy::{
     quota::{Quota, QuotaSlack},
-    repeat_share::{RepeatLimit, RepeatShare},
+    windowed_retry_budget::{RetryLimit, WindowedRetryBudget},
 };
 use rand::RngExt;
 use tokio::sync::watch;
@@ -102,7 +102,7 @@
     /// When the node started, unless the whole system started for the first time.
     pub restarted_at: Option<Stamp>,
     /// The repeats at each service.
-    pub repeats: HashMap<ServiceName, RepeatShare>,
+    pub repeats: HashMap<ServiceName, WindowedRetryBudget>,
     /// The requests begun.
     pub usage: UsageCounts,
     /// The work that engines of each service were sent.
@@ -137,7 +137,7 @@
     /// Returns the bucket of a team.
     pub fn quota(&mut self, team: &TeamName) -> &mut Quota {
         let restarted_at = self.restarted_at;
-        let bucket = || restarted_at.map_or_else(Quota::default, Quota::drained);
+        let bucket = || restarted_at.map_or_else(Quota::default, Quota::empty);
         self.quotas.entry(team.clone()).or_insert_with(bucket)
     }
 }
@@ -272,9 +272,9 @@
     }
 
     /// Returns the limit on repeats.
-    pub fn repeat_limit(&self) -> RepeatLimit {
+    pub fn repeat_limit(&self) -> RetryLimit {
         let bounds = &self.settings.bounds;
-        RepeatLimit {
+        RetryLimit {
             ratio: bounds.retry_ratio,
             headroom: bounds.retry_headroom,
             window: bounds.retry_window.into(),
--- a/crates/gateway/src/knowledge/digest.rs
+++ b/crates/gateway/src/knowledge/digest.rs
@@ -2,7 +2,7 @@
 
 use bulrushhall_coord::{TeamCounts, Window};
 use bulrushhall_core::{Incarnation, NodeName, Revision, ServiceName, TeamName};
-use bulrushhall_policy::{observed::EnginePace, parts::PromptPart};
+use bulrushhall_policy::{observed::EngineLatencyModel, parts::PromptPart};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
@@ -114,7 +114,7 @@
     /// The work that it sends to the engines of each service.
     pub offered: Vec<(ServiceName, Offered)>,
     /// What it has learnt of the engines of each service.
-    pub paces: Vec<(ServiceName, EnginePace)>,
+    pub paces: Vec<(ServiceName, EngineLatencyModel)>,
     /// Where the sender, as a member, stands with the records of backend servers and nodes.
     #[serde(default)]
     pub records_known: Option<RecordsKnown>,
--- a/crates/gateway/src/knowledge/hear.rs
+++ b/crates/gateway/src/knowledge/hear.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_coord::{NewsScope, Role, SourceChoice, usage::UsageOf};
 use bulrushhall_core::{Event, Incarnation, Stamp, TeamName, ZoneName};
-use bulrushhall_policy::quota::QuotaTold;
+use bulrushhall_policy::quota::QuotaReport;
 
 use crate::{
     backends::RecordNews,
@@ -99,7 +99,7 @@
 impl Hearing<'_> {
     fn take(&self, state: &mut State, mut told: Digest) {
         for (service, pace) in &told.paces {
-            state.observed(service).engines.hear(*pace);
+            state.observed(service).engines.receive(*pace);
         }
         if told.told == Told::Nothing {
             return;
@@ -206,11 +206,11 @@
             told.asked.iter().map(|(team, asked)| (team, *asked)).collect();
         for (team, total) in &told.quotas {
             let asked = asked.get(team).copied().unwrap_or(0.0);
-            let quota_told = QuotaTold { total: *total, asked };
+            let quota_told = QuotaReport { total: *total, demand: asked };
             let quota = state.quota(team);
             match told.told {
-                Told::Own => quota.hear(self.now, told.incarnation, quota_told),
-                _ => quota.hear_sum(self.now, told.incarnation, quota_told, told.nodes),
+                Told::Own => quota.receive(self.now, told.incarnation, quota_told),
+                _ => quota.receive_sum(self.now, told.incarnation, quota_told, told.nodes),
             }
         }
     }
--- a/crates/gateway/src/knowledge/tell.rs
+++ b/crates/gateway/src/knowledge/tell.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_coord::{Role, TeamCounts, Window, usage::ToldWindows};
 use bulrushhall_core::{Incarnation, ServiceName, Stamp, TeamName};
-use bulrushhall_policy::{parts::PromptPart, quota::QuotaTold};
+use bulrushhall_policy::{parts::PromptPart, quota::QuotaReport};
 
 use crate::{
     clock,
@@ -77,11 +77,11 @@
         digest.nodes = u32::try_from(digest.heard.len() + 1).unwrap_or(u32::MAX);
         for (team, quota) in &state.quotas {
             let told = match self.message.told {
-                Told::Zone => quota.told_of_zone(self.now),
-                Told::Others => quota.told_of_others(self.now, self.receiver()),
-                Told::Own | Told::Nothing => quota.told(self.now),
+                Told::Zone => quota.zone_report(self.now),
+                Told::Others => quota.report_excluding(self.now, self.receiver()),
+                Told::Own | Told::Nothing => quota.report(self.now),
             };
-            let QuotaTold { total, asked } = told;
+            let QuotaReport { total, demand: asked } = told;
             digest.quotas.push((team.clone(), total));
             if ASKED_LEAST <= asked {
                 digest.asked.push((TeamName::clone(team), asked));
@@ -94,7 +94,9 @@
         if is_own || state.exchanges.is_multiple_of(LATE_NEWS_EACH) {
             digest.usage = self.usage(state);
             for (service, observed) in &state.observed {
-                digest.paces.extend(observed.engines.own().map(|pace| (service.clone(), pace)));
+                digest
+                    .paces
+                    .extend(observed.engines.own_model().map(|pace| (service.clone(), pace)));
             }
         }
     }
@@ -133,12 +135,12 @@
                 Told::Others => backend.load(now, |life| life != receiver),
                 Told::Own | Told::Nothing => backend.own,
             };
-            let mut parts: Vec<PromptPart> = backend.recent.told(now, told_for);
+            let mut parts: Vec<PromptPart> = backend.recent.updates(now, told_for);
             if matches!(told, Told::Zone | Told::Others) {
-                parts.extend(backend.recent_near.told(now, told_for));
+                parts.extend(backend.recent_near.updates(now, told_for));
             }
             if told == Told::Others {
-                parts.extend(backend.recent_far.told(now, told_for));
+                parts.extend(backend.recent_far.updates(now, told_for));
             }
             parts.sort_unstable_by_key(|part| part.id);
             parts.dedup_by_key(|part| part.id);
--- a/crates/gateway/src/pipeline/attempt.rs
+++ b/crates/gateway/src/pipeline/attempt.rs
@@ -138,10 +138,10 @@
     let doubted = gateway.with(|state| {
         let Some(backend) = state.backends.get_mut(place.key) else { return false };
         if good {
-            backend.doubt.note_good();
+            backend.circuit_breaker.record_success();
             return false;
         }
-        backend.doubt.note_bad(now)
+        backend.circuit_breaker.record_failure(now)
     });
     if doubted {
         tracing::warn!(event = Event::BackendDoubted.number(), backend = &*place.name);
--- a/crates/gateway/src/pipeline/occupancy.rs
+++ b/crates/gateway/src/pipeline/occupancy.rs
@@ -63,7 +63,7 @@
             backend.note_first_token(expected, took);
             if unqueued {
                 let service = backend.record.service.clone();
-                let sample = FirstTokenSample { to_read, took };
+                let sample = FirstTokenSample { prefill_tokens: to_read, took };
                 state.observed(&service).engines.note_first_token(sample);
             }
         });
--- a/crates/gateway/src/pipeline/place.rs
+++ b/crates/gateway/src/pipeline/place.rs
@@ -5,11 +5,11 @@
 use bulrushhall_coord::Role;
 use bulrushhall_core::{ServiceName, ZoneName};
 use bulrushhall_policy::{
-    copy_source::{COPIED_LEAST, SourceView, choose_source, most_kept},
+    copy_source::{MIN_COPIED_TOKENS, SourceView, choose_source, max_cached_tokens},
     engine_choice::{EngineChoice, EngineRequest, EngineView, choose_engine},
-    patience::Patience,
+    latency_budget::LatencyBudget,
     placement::WorkerKey,
-    plain_choice::{PlainView, choose_plain},
+    server_choice::{ServerView, choose_server},
 };
 
 use crate::{
@@ -114,19 +114,19 @@
                 held_tokens: backend.held(now),
                 cached: backend.parts.cached(&prompt.parts),
                 slowness: backend.slowness,
-                distance: distance(zone, backend),
-                failing: backend.doubt.failing(),
-                avoided: backend.doubt.is_avoided(now),
+                network_latency: distance(zone, backend),
+                failure_rate: backend.circuit_breaker.failure_rate(),
+                circuit_open: backend.circuit_breaker.is_open(now),
             });
         }
         let sources = self.sources(state, sizes, prompt);
         let wanted = EngineRequest {
             parts: &prompt.parts,
-            prompt: prompt.tokens,
-            answer: prompt.answer(),
-            kept: most_kept(&sources),
+            prompt_tokens: prompt.tokens,
+            answer_tokens: prompt.answer(),
+            cached_elsewhere: max_cached_tokens(&sources),
             copied_per_ms: sizes.copied_per_ms,
-            pace: state.observed(self.service).engines.pace(),
+            model: state.observed(self.service).engines.model(),
             unseen_tokens: self.unseen_tokens(state),
         };
         let mut random = rand::rng();
@@ -134,9 +134,11 @@
         if self.tried.is_empty() {
             // What is refused is demand too: without it the fleet would never grow.
             let demand = state.demand.entry(self.service.clone()).or_default();
-            let (read, answer) = (f64::from(chosen.to_read), f64::from(prompt.answer()));
+            let (read, answer) = (f64::from(chosen.prefill_tokens), f64::from(prompt.answer()));
             demand.note(now, Offered { read, answer });
-            self.patience().judge(chosen.wait, &mut random).map_err(Failure::Overloaded)?;
+            self.latency_budget()
+                .check_wait(chosen.wait, &mut random)
+                .map_err(Failure::Overloaded)?;
         }
         let copy_from = copy_from(state, chosen, sources);
         let backend = state.backends.get_mut(chosen.key).ok_or(Failure::NoBackend)?;
@@ -144,11 +146,12 @@
         backend.recent.note(now, prompt.shared_parts());
         let footprint = Footprint {
             rank,
-            to_read: chosen.to_read,
+            to_read: chosen.prefill_tokens,
             held: prompt.tokens + prompt.answer(),
             expected: Some(chosen.first_token),
             // Of a prompt that is copied or guessed to be cached, what is read is not known.
-            unqueued: chosen.wait.is_zero() && chosen.to_read + chosen.cached == prompt.tokens,
+            unqueued: chosen.wait.is_zero()
+                && chosen.prefill_tokens + chosen.cached == prompt.tokens,
         };
         let (key, wait, candidates) = (chosen.key, chosen.wait, views.len());
         Ok(Chosen { key, wait, footprint, copy_from, candidates })
@@ -171,11 +174,12 @@
         let now = clock::now();
         for (key, backend) in state.backends.keeping(self.service) {
             let cached = backend.parts.cached(&prompt.parts);
-            if cached < COPIED_LEAST {
+            if cached < MIN_COPIED_TOKENS {
                 continue;
             }
-            let (requests, failing) = (backend.requests(now), backend.doubt.failing());
-            sources.push(SourceView { key, cached, near: false, requests, failing });
+            let (requests, failure_rate) =
+                (backend.requests(now), backend.circuit_breaker.failure_rate());
+            sources.push(SourceView { key, cached, same_zone: false, requests, failure_rate });
         }
         sources
     }
@@ -184,19 +188,19 @@
         let now = clock::now();
         let mut views = Vec::new();
         for (key, backend) in self.untried(state) {
-            views.push(PlainView {
+            views.push(ServerView {
                 key,
                 slots: backend.record.slots,
                 calls: backend.requests(now),
-                distance: distance(zone, backend),
-                failing: backend.doubt.failing(),
-                avoided: backend.doubt.is_avoided(now),
+                network_latency: distance(zone, backend),
+                failure_rate: backend.circuit_breaker.failure_rate(),
+                circuit_open: backend.circuit_breaker.is_open(now),
             });
         }
         let mut random = rand::rng();
         let call = state.observed(self.service).calls.median();
-        let (key, wait) = choose_plain(&views, call, &mut random).ok_or(Failure::NoBackend)?;
-        self.patience().judge(wait, &mut random).map_err(Failure::Overloaded)?;
+        let (key, wait) = choose_server(&views, call, &mut random).ok_or(Failure::NoBackend)?;
+        self.latency_budget().check_wait(wait, &mut random).map_err(Failure::Overloaded)?;
         let footprint = Footprint { rank: self.req.rank(), ..Footprint::default() };
         Ok(Chosen { key, wait, footprint, copy_from: None, candidates: views.len() })
     }
@@ -207,7 +211,7 @@
         entry: &ServiceEntry,
         chosen: Chosen,
     ) -> Result<Place, Failure> {
-        let long_call = state.observed(self.service).calls.long();
+        let long_call = state.observed(self.service).calls.p95();
         let backend = state.backends.get(chosen.key).ok_or(Failure::NoBackend)?;
         Ok(Place {
             key: chosen.key,
@@ -229,10 +233,10 @@
         state.backends.open(self.service).filter(|(key, _)| !self.tried.contains(key))
     }
 
-    fn patience(&self) -> Patience {
+    fn latency_budget(&self) -> LatencyBudget {
         let cfg = &self.req.route.cfg;
         let gap = cfg.target_gap.map(Duration::from).filter(|_| cfg.kind.is_stream());
-        Patience { target: cfg.target_latency.into(), gap, left: self.left }
+        LatencyBudget { target: cfg.target_latency.into(), max_gap: gap, remaining: self.left }
     }
 }
 
@@ -246,7 +250,7 @@
     sources.retain(|source| source.key != chosen.key);
     for source in &mut sources {
         let backend = state.backends.get(source.key);
-        source.near = backend.is_some_and(|backend| backend.record.zone == *zone);
+        source.same_zone = backend.is_some_and(|backend| backend.record.zone == *zone);
     }
     let source = choose_source(sources, chosen.cached)?;
     Some(state.backends.get(source.key)?.record.address)
--- a/crates/gateway/src/pipeline/serve.rs
+++ b/crates/gateway/src/pipeline/serve.rs
@@ -154,7 +154,7 @@
     let Some(team) = &req.team else { return };
     gateway.with(|state| {
         if let Some(quota) = state.quotas.get_mut(&team.name) {
-            quota.give_back(amount);
+            quota.refund(amount);
         }
     });
 }
--- a/crates/gateway/src/pipeline/stream_gaps.rs
+++ b/crates/gateway/src/pipeline/stream_gaps.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bulrushhall_core::Stamp;
-use bulrushhall_policy::observed::Recent;
+use bulrushhall_policy::observed::RecentSamples;
 
 /// The gaps that are held of a stream: its last ones, when its engine was as full as it is told to be
 /// at the end.
@@ -14,7 +14,7 @@
 /// `StreamGaps` are the times between the events of one stream.
 #[derive(Clone, Debug, Default)]
 pub struct StreamGaps {
-    gaps: Recent<HELD>,
+    gaps: RecentSamples<HELD>,
     last_at: Option<Stamp>,
     events: u32,
 }
--- a/crates/policy/src/admission/fair_queue.rs
+++ b/crates/policy/src/admission/fair_queue.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_core::TeamName;
 
-use crate::admission::{Ticket, Wait};
+use crate::admission::{AdmissionRequest, Ticket};
 
 /// A `FairQueue` shares the service of one priority over the teams that have requests waiting.
 ///
@@ -23,7 +23,7 @@
 struct TeamQueue {
     virtual_time: f64,
     tokens: u64,
-    entries: VecDeque<(Ticket, Wait)>,
+    entries: VecDeque<(Ticket, AdmissionRequest)>,
 }
 
 impl FairQueue {
@@ -43,7 +43,7 @@
     }
 
     /// Puts a request at the end of its team's queue, or at its front if it ran before.
-    pub fn push(&mut self, ticket: Ticket, wait: Wait) {
+    pub fn push(&mut self, ticket: Ticket, wait: AdmissionRequest) {
         let now = self.virtual_time;
         let team = self.teams.entry(wait.team.clone()).or_default();
         if team.entries.is_empty() {
@@ -60,7 +60,7 @@
     }
 
     /// Takes out the request that goes next.
-    pub fn pop(&mut self, shares: &BTreeMap<TeamName, u32>) -> Option<(Ticket, Wait)> {
+    pub fn pop(&mut self, shares: &BTreeMap<TeamName, u32>) -> Option<(Ticket, AdmissionRequest)> {
         let waiting = self.teams.iter_mut().filter(|(_, team)| !team.entries.is_empty());
         let (name, team) = waiting
             .min_by(|(_, one), (_, other)| one.virtual_time.total_cmp(&other.virtual_time))?;
@@ -79,8 +79,8 @@
     /// Takes out every request that `is_wanted` names, in the order of teams and waiting.
     pub fn extract(
         &mut self,
-        mut is_wanted: impl FnMut(Ticket, &Wait) -> bool,
-    ) -> Vec<(Ticket, Wait)> {
+        mut is_wanted: impl FnMut(Ticket, &AdmissionRequest) -> bool,
+    ) -> Vec<(Ticket, AdmissionRequest)> {
         let mut taken = Vec::new();
         for team in self.teams.values_mut() {
             if !team.entries.iter().any(|(ticket, wait)| is_wanted(*ticket, wait)) {
--- a/crates/policy/src/admission/machine.rs
+++ b/crates/policy/src/admission/machine.rs
@@ -5,7 +5,9 @@
 use bulrushhall_core::{Stamp, TeamName};
 use rand::{Rng, RngExt};
 
-use crate::admission::{AdmissionOptions, Decision, FairQueue, ServiceRate, Ticket, Wait};
+use crate::admission::{
+    AdmissionOptions, AdmissionRequest, Decision, FairQueue, ServiceRate, Ticket,
+};
 
 /// An `Admission` decides which requests are accepted and in which order they run.
 ///
@@ -68,7 +70,7 @@
     pub fn arrive(
         &mut self,
         now: Stamp,
-        wait: Wait,
+        wait: AdmissionRequest,
         random: &mut dyn Rng,
     ) -> (Ticket, Vec<Decision>) {
         self.next += 1;
@@ -134,7 +136,7 @@
     }
 
     // Returns by how much a new request would come too late, none if it would come in time.
-    fn excess(&self, now: Stamp, wait: &Wait) -> Option<Duration> {
+    fn excess(&self, now: Stamp, wait: &AdmissionRequest) -> Option<Duration> {
         if self.options.queued_tokens < self.queued_tokens() + u64::from(wait.tokens) {
             return Some(self.rate.time_for(f64::from(wait.tokens), self.capacity));
         }
@@ -199,7 +201,7 @@
         }
     }
 
-    fn next_to_start(&mut self) -> Option<(Ticket, Wait)> {
+    fn next_to_start(&mut self) -> Option<(Ticket, AdmissionRequest)> {
         if !self.overdue.is_empty()
             && 0.0 <= self.overdue_credit
             && self.running_up_to(self.options.interactive) < self.capacity
@@ -217,7 +219,7 @@
         Some((ticket, wait))
     }
 
-    fn next_overdue(&mut self) -> Option<(Ticket, Wait)> {
+    fn next_overdue(&mut self) -> Option<(Ticket, AdmissionRequest)> {
         if self.capacity <= self.running_up_to(self.options.interactive) {
             return None;
         }
@@ -227,7 +229,7 @@
 
     // An overdue request takes the place of an interactive one and counts as one while it runs.
     // Counted behind them it would wait for a moment without urgent work that may never come.
-    fn pop_overdue(&mut self) -> Option<(Ticket, Wait)> {
+    fn pop_overdue(&mut self) -> Option<(Ticket, AdmissionRequest)> {
         let (ticket, mut wait) = self.overdue.pop(&self.shares)?;
         self.overdue_credit -= f64::from(wait.tokens);
         wait.priority = wait.priority.min(self.options.interactive);
--- a/crates/policy/src/admission/wait.rs
+++ b/crates/policy/src/admission/request.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A `Wait` describes a request that asks to be run.
+/// A `AdmissionRequest` describes a request that asks to be run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wait {
+pub struct AdmissionRequest {
     /// The team that the request counts against.
     pub team: TeamName,
     /// The priority; 0 is the most urgent.
--- a/crates/policy/src/doubt.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -16,36 +16,36 @@
 /// The longest pause between two such trials.
 const PAUSE_MAX: Duration = Duration::from_secs(4);
 
-/// A `Doubt` is what the outcomes of calls tell about one backend server.
+/// A `CircuitBreaker` is what the outcomes of calls tell about one backend server.
 ///
 /// A health check can be good while requests fail. Callers would see a steady part of their
 /// requests fail until someone takes the server out; outcomes show it within a few calls.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Doubt {
-    failing: f64,
+pub struct CircuitBreaker {
+    failure_rate: f64,
     row: u32,
     avoided_until: Option<Stamp>,
     pauses: u32,
 }
 
-impl Doubt {
+impl CircuitBreaker {
     /// Notes a call that ended well.
-    pub fn note_good(&mut self) {
-        self.failing *= 1.0 - STEP;
+    pub fn record_success(&mut self) {
+        self.failure_rate *= 1.0 - STEP;
         self.row = 0;
-        if self.failing < AVOIDED_FROM / 2.0 {
+        if self.failure_rate < AVOIDED_FROM / 2.0 {
             self.pauses = 0;
         }
-        if self.failing < AVOIDED_FROM {
+        if self.failure_rate < AVOIDED_FROM {
             self.avoided_until = None;
         }
     }
 
     /// Notes a call that failed; returns whether the server is newly avoided.
-    pub fn note_bad(&mut self, now: Stamp) -> bool {
-        self.failing += (1.0 - self.failing) * STEP;
+    pub fn record_failure(&mut self, now: Stamp) -> bool {
+        self.failure_rate += (1.0 - self.failure_rate) * STEP;
         self.row += 1;
-        if self.failing < AVOIDED_FROM && self.row < IN_A_ROW {
+        if self.failure_rate < AVOIDED_FROM && self.row < IN_A_ROW {
             return false;
         }
         let newly = self.avoided_until.is_none();
@@ -57,12 +57,12 @@
 
     /// Returns whether the server is avoided now. Once the pause is over calls are tried again;
     /// the first that fails begins a longer pause.
-    pub fn is_avoided(&self, now: Stamp) -> bool {
+    pub fn is_open(&self, now: Stamp) -> bool {
         self.avoided_until.is_some_and(|until| now < until)
     }
 
     /// Returns the share of failures among the last calls, 0 to 1.
-    pub fn failing(&self) -> f64 {
-        self.failing
+    pub fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 }
--- a/crates/policy/src/copy_source.rs
+++ b/crates/policy/src/copy_source.rs
@@ -6,7 +6,7 @@
 
 /// The fewest tokens that are worth a copy: an engine reads fewer in the 5 to 10 ms that it takes to
 /// set one up.
-pub const COPIED_LEAST: u32 = 512;
+pub const MIN_COPIED_TOKENS: u32 = 512;
 /// The share of failures from which an engine is not copied from: the copy would fail too, and the
 /// prompt be read after a lost wait.
 const FAILING_MOST: f64 = 0.2;
@@ -19,21 +19,21 @@
     /// The leading tokens of the prompt that it keeps.
     pub cached: u32,
     /// Whether it is in the same availability zone as the one that copies.
-    pub near: bool,
+    pub same_zone: bool,
     /// The requests of all nodes there.
     pub requests: u32,
     /// The share of failures among the last calls there.
-    pub failing: f64,
+    pub failure_rate: f64,
 }
 
 impl SourceView {
     fn is_trusted(&self) -> bool {
-        self.failing < FAILING_MOST
+        self.failure_rate < FAILING_MOST
     }
 }
 
 /// Returns the most leading tokens of the prompt that an engine keeps which may be copied from.
-pub fn most_kept(sources: &[SourceView]) -> u32 {
+pub fn max_cached_tokens(sources: &[SourceView]) -> u32 {
     let trusted = sources.iter().filter(|source| source.is_trusted());
     trusted.map(|source| source.cached).max().unwrap_or(0)
 }
@@ -47,6 +47,6 @@
     sources
         .into_iter()
         .filter(SourceView::is_trusted)
-        .filter(|source| COPIED_LEAST <= source.cached.saturating_sub(cached))
-        .max_by_key(|source| (source.cached, source.near, Reverse(source.requests)))
+        .filter(|source| MIN_COPIED_TOKENS <= source.cached.saturating_sub(cached))
+        .max_by_key(|source| (source.cached, source.same_zone, Reverse(source.requests)))
 }
--- a/crates/policy/src/fading.rs
+++ b/crates/policy/src/decaying_sum.rs
@@ -4,19 +4,19 @@
 
 use bulrushhall_core::Stamp;
 
-/// A `Fading` sum counts what was added lately: the weight of an amount falls by a factor of e in each
+/// A `DecayingSum` sum counts what was added lately: the weight of an amount falls by a factor of e in each
 /// `over`.
 #[derive(Clone, Copy, Debug)]
-pub struct Fading {
+pub struct DecayingSum {
     over: Duration,
     sum: f64,
     at: Stamp,
 }
 
-impl Fading {
+impl DecayingSum {
     /// Returns an empty sum.
-    pub fn new(over: Duration) -> Fading {
-        Fading { over, sum: 0.0, at: Stamp(0) }
+    pub fn new(over: Duration) -> DecayingSum {
+        DecayingSum { over, sum: 0.0, at: Stamp(0) }
     }
 
     /// Adds an amount.
--- a/crates/policy/src/engine_choice.rs
+++ b/crates/policy/src/engine_choice.rs
@@ -5,8 +5,8 @@
 use rand::{Rng, RngExt};
 
 use crate::{
-    copy_source::COPIED_LEAST,
-    observed::EnginePace,
+    copy_source::MIN_COPIED_TOKENS,
+    observed::EngineLatencyModel,
     parts::PromptPart,
     placement::{WorkerKey, rendezvous_score},
 };
@@ -60,11 +60,11 @@
     /// How many times the predicted time first tokens took lately.
     pub slowness: f64,
     /// The one-way latency to it.
-    pub distance: Duration,
+    pub network_latency: Duration,
     /// The share of failures among the last calls there.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Whether it fails too often to be used while there are others.
-    pub avoided: bool,
+    pub circuit_open: bool,
 }
 
 /// An `EngineRequest` is what has to be placed.
@@ -73,15 +73,15 @@
     /// The parts of the prompt, in order.
     pub parts: &'a [PromptPart],
     /// The tokens of the whole prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The expected tokens of the answer.
-    pub answer: u32,
+    pub answer_tokens: u32,
     /// The most leading tokens that some engine is believed to keep.
-    pub kept: u32,
+    pub cached_elsewhere: u32,
     /// The tokens that an engine copies from another one's memory in a millisecond; 0 where it can't.
     pub copied_per_ms: f64,
     /// How fast the engines are.
-    pub pace: EnginePace,
+    pub model: EngineLatencyModel,
     /// The prompt tokens that other nodes have sent to all engines and that are not in the views yet.
     pub unseen_tokens: f64,
 }
@@ -92,7 +92,7 @@
     /// The engine.
     pub key: WorkerKey,
     /// The prompt tokens that it has to read.
-    pub to_read: u32,
+    pub prefill_tokens: u32,
     /// The leading tokens that it keeps by this node's record.
     pub cached: u32,
     /// The prompt tokens that it copies from another engine.
@@ -115,10 +115,10 @@
     random: &mut dyn Rng,
 ) -> Option<EngineChoice> {
     let homes = homes(req.parts, engines);
-    let trusted = engines.iter().any(|engine| !engine.avoided);
+    let trusted = engines.iter().any(|engine| !engine.circuit_open);
     let mut rated: Vec<Rated> = Vec::new();
     for engine in engines {
-        if engine.avoided && trusted {
+        if engine.circuit_open && trusted {
             continue;
         }
         let expected = expect(req, engine, homes.contains(&Some(engine.key)));
@@ -130,7 +130,7 @@
     // Elsewhere more of the prompt would be read or copied, which costs more than a queue that may not be.
     let work = rated.first()?.work();
     rated.retain(|rated| rated.work() <= work);
-    let unseen_ms = req.pace.read_ms(req.unseen_tokens) * rated.len() as f64 / engines as f64;
+    let unseen_ms = req.model.prefill_ms(req.unseen_tokens) * rated.len() as f64 / engines as f64;
     let level = filled_to(&rated, unseen_ms);
     let mut left = random.random_range(0.0..1.0) * unseen_ms;
     for Rated { score, expected } in &rated {
@@ -151,7 +151,7 @@
 impl Rated {
     /// The tokens of the prompt that are read or copied there.
     fn work(&self) -> u32 {
-        self.expected.to_read + self.expected.copied
+        self.expected.prefill_tokens + self.expected.copied
     }
 }
 
@@ -171,25 +171,26 @@
 
 fn expect(req: EngineRequest<'_>, engine: &EngineView, home: bool) -> EngineChoice {
     let shared: u32 = req.parts.iter().map(|part| part.tokens).sum();
-    let guessed = if home { (f64::from(shared.min(req.prompt)) * HOME_SHARE) as u32 } else { 0 };
+    let guessed =
+        if home { (f64::from(shared.min(req.prompt_tokens)) * HOME_SHARE) as u32 } else { 0 };
     let own = engine.cached.max(guessed);
     let copied = copied(req, own);
-    let to_read = req.prompt.saturating_sub(own + copied);
-    let needed = u64::from(req.prompt) + u64::from(req.answer);
+    let to_read = req.prompt_tokens.saturating_sub(own + copied);
+    let needed = u64::from(req.prompt_tokens) + u64::from(req.answer_tokens);
     let room = (engine.memory as f64 * MEMORY_SHARE) as u64;
     // Beyond its memory an engine puts the newest requests aside and reads them again.
     let over = (engine.held_tokens + needed).saturating_sub(room).min(needed + room);
     let full = engine.requests.saturating_sub(engine.slots);
     // Beyond its batch one place comes free for each answer that ends.
-    let places = req.pace.answer_work_ms(f64::from(req.answer), f64::from(engine.slots));
-    let reading = req.pace.read_ms(engine.waiting_tokens as f64 + over as f64);
+    let places = req.model.decode_work_ms(f64::from(req.answer_tokens), f64::from(engine.slots));
+    let reading = req.model.prefill_ms(engine.waiting_tokens as f64 + over as f64);
     let wait = (reading + f64::from(full) * places) * engine.slowness;
     let copying =
         if 0 < copied { COPY_SETUP_MS + f64::from(copied) / req.copied_per_ms } else { 0.0 };
-    let read = req.pace.first.at(f64::from(to_read)) * engine.slowness;
+    let read = req.model.first.at(f64::from(to_read)) * engine.slowness;
     EngineChoice {
         key: engine.key,
-        to_read,
+        prefill_tokens: to_read,
         cached: engine.cached,
         copied,
         wait: Duration::from_secs_f64(wait / 1_000.0),
@@ -199,20 +200,20 @@
 
 // What another engine keeps is copied in an eighth of the time that reading takes, or less.
 fn copied(req: EngineRequest<'_>, own: u32) -> u32 {
-    let copied = req.kept.min(req.prompt).saturating_sub(own);
-    if 0.0 < req.copied_per_ms && COPIED_LEAST <= copied { copied } else { 0 }
+    let copied = req.cached_elsewhere.min(req.prompt_tokens).saturating_sub(own);
+    if 0.0 < req.copied_per_ms && MIN_COPIED_TOKENS <= copied { copied } else { 0 }
 }
 
 fn score(req: EngineRequest<'_>, engine: &EngineView, expected: &EngineChoice) -> f64 {
     let first = expected.first_token.as_secs_f64() * 1_000.0;
     let filled = f64::from(engine.requests) / f64::from(engine.slots.max(1));
-    let delay = req.pace.read_ms(f64::from(expected.to_read)) * filled * DELAY_WEIGHT;
-    let slower = req.pace.gap.slope * CROWDED_EVENTS;
-    let slower = slower + req.pace.crowding_ms(f64::from(req.answer)) * CROWDED_ANSWER;
+    let delay = req.model.prefill_ms(f64::from(expected.prefill_tokens)) * filled * DELAY_WEIGHT;
+    let slower = req.model.gap.slope * CROWDED_EVENTS;
+    let slower = slower + req.model.crowding_ms(f64::from(req.answer_tokens)) * CROWDED_ANSWER;
     let crowding = f64::from(engine.requests) * slower;
-    let way = engine.distance.as_secs_f64() * 2_000.0;
-    let moved = req.pace.read_ms(f64::from(expected.copied)) * COPY_WEIGHT;
-    first + delay + moved + crowding + way + engine.failing * FAILING_MS
+    let way = engine.network_latency.as_secs_f64() * 2_000.0;
+    let moved = req.model.prefill_ms(f64::from(expected.copied)) * COPY_WEIGHT;
+    first + delay + moved + crowding + way + engine.failure_rate * FAILING_MS
 }
 
 // All nodes work out the same homes, so prompts that begin alike meet without a message.
@@ -221,7 +222,7 @@
     let Some(largest) = parts.iter().max_by_key(|part| part.tokens) else { return homes };
     let mut ranked: Vec<_> = engines
         .iter()
-        .filter(|engine| !engine.avoided)
+        .filter(|engine| !engine.circuit_open)
         .map(|engine| (rendezvous_score(largest.id, engine.identity), engine.key))
         .collect();
     ranked.sort_by_key(|(score, _)| std::cmp::Reverse(*score));
--- a/crates/policy/src/fleet/planner.rs
+++ b/crates/policy/src/fleet/planner.rs
@@ -28,7 +28,7 @@
     /// A VM is about to be taken back.
     Leaving(VmName),
     /// A VM is gone.
-    Gone(VmName),
+    Removed(VmName),
     /// The VMs that carry this deployment's tag.
     Listed(Vec<VmName>),
     /// Time passes.
@@ -96,7 +96,7 @@
             FleetEvent::Refused(id) => self.refused(now, id),
             FleetEvent::Ready(vm) => self.set_state(&vm, SlotState::Ready),
             FleetEvent::Leaving(vm) => self.leaving(now, &vm),
-            FleetEvent::Gone(vm) => self.gone(now, &vm),
+            FleetEvent::Removed(vm) => self.gone(now, &vm),
             FleetEvent::Listed(vms) => self.listed(now, vms, &mut out),
             FleetEvent::Tick => self.plan_all(now, &mut out),
         }
--- a/crates/policy/src/fleet_counts/limits.rs
+++ b/crates/policy/src/fleet_counts/limits.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CountLimits {
     /// The fewest servers in a zone, of both markets together.
-    pub least: u32,
+    pub min: u32,
     /// The most servers in a zone, of both markets together.
-    pub most: u32,
+    pub max: u32,
     /// How long a server takes to start.
     pub start: Duration,
     /// The price of a reclaimable server as a part of an on-demand one's; none are sold without.
--- a/crates/policy/src/fleet_counts/mod.rs
+++ b/crates/policy/src/fleet_counts/mod.rs
@@ -5,11 +5,11 @@
 mod order;
 mod planner;
 mod recent_peak;
-mod seen;
-mod staffing;
+mod sizing_rule;
+mod zone_servers;
 
 pub use limits::CountLimits;
 pub use order::{CountMarket, CountOrder};
 pub use planner::CountPlanner;
-pub use seen::Seen;
-pub use staffing::Staffing;
+pub use sizing_rule::SizingRule;
+pub use zone_servers::ZoneServers;
--- a/crates/policy/src/fleet_counts/planner.rs
+++ b/crates/policy/src/fleet_counts/planner.rs
@@ -5,8 +5,8 @@
 use bulrushhall_core::{Stamp, ZoneName};
 
 use crate::fleet_counts::{
-    CountLimits, CountMarket, CountOrder, Seen, Staffing, recent_peak::RecentPeak,
-    staffing::START_SLACK,
+    CountLimits, CountMarket, CountOrder, SizingRule, ZoneServers, recent_peak::RecentPeak,
+    sizing_rule::START_SLACK,
 };
 
 /// How long a zone that refused an order is left alone.
@@ -29,7 +29,7 @@
 /// are sold. On-demand ones stand in only for what is missing then.
 #[derive(Clone, Debug, Default)]
 pub struct CountPlanner {
-    staffing: Staffing,
+    staffing: SizingRule,
     ordered: BTreeMap<(ZoneName, CountMarket), Ordered>,
     /// The servers that were there when the duty began, until the demand was seen for long enough.
     found: Option<f64>,
@@ -67,12 +67,12 @@
 struct Situation<'a> {
     now: Stamp,
     limits: &'a CountLimits,
-    seen: &'a BTreeMap<ZoneName, Seen>,
+    seen: &'a BTreeMap<ZoneName, ZoneServers>,
 }
 
 impl CountPlanner {
     /// Returns a planner that has seen nothing.
-    pub fn new(staffing: Staffing) -> CountPlanner {
+    pub fn new(staffing: SizingRule) -> CountPlanner {
         CountPlanner { staffing, ..CountPlanner::default() }
     }
 
@@ -86,7 +86,7 @@
         now: Stamp,
         limits: &CountLimits,
         busy: f64,
-        seen: &BTreeMap<ZoneName, Seen>,
+        seen: &BTreeMap<ZoneName, ZoneServers>,
     ) {
         self.ordered.clear();
         self.found = None;
@@ -102,7 +102,7 @@
         now: Stamp,
         limits: &CountLimits,
         busy: f64,
-        seen: &BTreeMap<ZoneName, Seen>,
+        seen: &BTreeMap<ZoneName, ZoneServers>,
     ) -> Vec<CountOrder> {
         let situation = Situation { now, limits, seen };
         self.note_reclaims(now, seen);
@@ -116,7 +116,7 @@
         for zone in limits.zones.keys() {
             let kept = on_demand.get(zone).copied().unwrap_or(0);
             let planned = reclaimable.get(zone).copied().unwrap_or(0);
-            let planned = planned.min(limits.most.saturating_sub(kept));
+            let planned = planned.min(limits.max.saturating_sub(kept));
             self.want(&situation, zone, CountMarket::Reclaimable, planned, &mut orders);
             self.want(&situation, zone, CountMarket::OnDemand, kept, &mut orders);
         }
@@ -144,7 +144,7 @@
             return orders;
         }
         for zone in limits.zones.keys() {
-            let count = (limits.most / 2).max(limits.least);
+            let count = (limits.max / 2).max(limits.min);
             self.want(situation, zone, CountMarket::Reclaimable, count, &mut orders);
         }
         orders
@@ -169,7 +169,7 @@
     fn needed(&mut self, situation: &Situation<'_>, busy: f64) -> Needed {
         let Situation { now, limits, seen } = situation;
         let mut needed = self.note_demand(*now, limits, busy);
-        let there = |of: fn(&Seen) -> u32| f64::from(seen.values().map(of).sum::<u32>());
+        let there = |of: fn(&ZoneServers) -> u32| f64::from(seen.values().map(of).sum::<u32>());
         // Reclaimable ones were ordered with the reserve; taken for needed, each holder would add to it.
         let reclaimable = there(|seen| seen.reclaimable) / limits.reserve();
         let found = *self.found.get_or_insert(reclaimable.max(there(|seen| seen.on_demand)));
@@ -210,7 +210,7 @@
         for zone in by_price(limits) {
             let more = over.min(1);
             over -= more;
-            targets.insert(zone.clone(), (each + more).clamp(limits.least, limits.most));
+            targets.insert(zone.clone(), (each + more).clamp(limits.min, limits.max));
         }
         // What is given back while none are sold has to be replaced by what costs several times as much.
         if self.is_scarce(situation) {
@@ -247,7 +247,7 @@
         // Those that are there come first: others would only start when they are no longer needed.
         for zone in by_price(limits) {
             let of_zone = seen.get(zone).copied().unwrap_or_default();
-            let short = limits.least.saturating_sub(of_zone.reclaimable);
+            let short = limits.min.saturating_sub(of_zone.reclaimable);
             let kept = of_zone.on_demand.min(wanted.max(short));
             targets.insert(zone.clone(), kept);
             wanted = wanted.saturating_sub(kept);
@@ -257,7 +257,7 @@
             let planned = reclaimable.get(zone).copied().unwrap_or(0);
             let taken = of_zone.reclaimable + self.coming(situation, zone).min(planned);
             let kept = targets.entry(zone.clone()).or_default();
-            let more = wanted.min(limits.most.saturating_sub(taken + *kept));
+            let more = wanted.min(limits.max.saturating_sub(taken + *kept));
             *kept += more;
             wanted -= more;
         }
@@ -265,7 +265,7 @@
     }
 
     // The platform takes back all reclaimable servers of a zone at once; a plan lowers them one by one.
-    fn note_reclaims(&mut self, now: Stamp, seen: &BTreeMap<ZoneName, Seen>) {
+    fn note_reclaims(&mut self, now: Stamp, seen: &BTreeMap<ZoneName, ZoneServers>) {
         if seen.values().any(|seen| seen.reclaimable == 0 && 0 < seen.leaving) {
             self.reclaimed_at = Some(now);
         }
--- a/crates/policy/src/fleet_counts/staffing.rs
+++ b/crates/policy/src/fleet_counts/sizing_rule.rs
@@ -5,9 +5,9 @@
 /// How much longer than an engine's start an order may take before it is given again.
 pub(super) const START_SLACK: Duration = Duration::from_millis(1_500);
 
-/// `Staffing` is how many engines a demand needs.
+/// `SizingRule` is how many engines a demand needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Staffing {
+pub struct SizingRule {
     /// The part of an engine's time that is used at most, however many there are.
     pub used_most: f64,
     /// How many engines more are needed than are busy, in square roots of these: the work of many
@@ -21,13 +21,13 @@
     pub stand_in_starts: f64,
 }
 
-impl Default for Staffing {
+impl Default for SizingRule {
     fn default() -> Self {
-        Staffing { used_most: 0.85, spread: 0.5, kept_starts: 8.0, stand_in_starts: 1.0 }
+        SizingRule { used_most: 0.85, spread: 0.5, kept_starts: 8.0, stand_in_starts: 1.0 }
     }
 }
 
-impl Staffing {
+impl SizingRule {
     /// Returns the engines for a demand that would keep `busy` of them busy all the time.
     pub fn engines(&self, busy: f64) -> f64 {
         busy / self.used_most + self.spread * busy.sqrt()
--- a/crates/policy/src/fleet_counts/seen.rs
+++ b/crates/policy/src/fleet_counts/zone_servers.rs
@@ -1,8 +1,8 @@
 //! The servers of one zone as a plan finds them.
 
-/// `Seen` are the servers of one zone that take work now.
+/// `ZoneServers` are the servers of one zone that take work now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct ZoneServers {
     /// The reclaimable ones.
     pub reclaimable: u32,
     /// The on-demand ones.
--- a/crates/policy/src/patience.rs
+++ b/crates/policy/src/latency_budget.rs
@@ -16,23 +16,23 @@
 /// The shortest time to come back, so that a refused caller does not meet the same queue.
 const AFTER_LEAST: Duration = Duration::from_millis(100);
 
-/// A `Patience` is how long a request's caller waits, and from when on an answer is late.
+/// A `LatencyBudget` is how long a request's caller waits, and from when on an answer is late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct LatencyBudget {
     /// The time until the answer, or its first event, after which it is late.
     pub target: Duration,
     /// The longest pause between events of an answer in time; none where it is no stream.
-    pub gap: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// The time that is left until the caller's deadline.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
-impl Patience {
+impl LatencyBudget {
     /// Returns how long the caller waits for the first event.
-    pub fn until_first(&self) -> Duration {
-        let Some(gap) = self.gap else { return self.left };
+    pub fn first_event_timeout(&self) -> Duration {
+        let Some(gap) = self.max_gap else { return self.remaining };
         let gives_up = GIVE_UP_LEAST.max(self.target * GIVE_UP_TARGETS).max(gap * GIVE_UP_GAPS);
-        gives_up.min(self.left)
+        gives_up.min(self.remaining)
     }
 
     /// Decides whether a request with an expected wait is sent, or refused with a time to return.
@@ -41,8 +41,8 @@
     /// too, until callers leave while their prompts are still read. Those whose wait alone fills
     /// the target are told at once to come back when the queue will have been worked off; the rest
     /// is served in time. What a request needs for itself is no ground: large ones would starve.
-    pub fn judge(&self, wait: Duration, random: &mut dyn Rng) -> Result<(), Duration> {
-        let most = self.target.min(self.until_first().mul_f64(FILLED));
+    pub fn check_wait(&self, wait: Duration, random: &mut dyn Rng) -> Result<(), Duration> {
+        let most = self.target.min(self.first_event_timeout().mul_f64(FILLED));
         if wait <= most {
             return Ok(());
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,32 +4,32 @@
 //! come in as arguments and decisions go out as values.
 
 pub mod admission;
+pub mod circuit_breaker;
 pub mod copy_source;
-pub mod doubt;
+pub mod decaying_sum;
 pub mod engine_choice;
-pub mod fading;
 pub mod fleet;
 pub mod fleet_counts;
-pub mod lane;
+pub mod latency_budget;
 pub mod observed;
 pub mod parts;
-pub mod patience;
 pub mod placement;
-pub mod plain_choice;
 pub mod prefix;
 pub mod quota;
 pub mod recent_parts;
 pub mod reclaim;
-pub mod repeat_share;
 pub mod retry;
+pub mod scheduler;
+pub mod server_choice;
 pub mod team_limits;
+pub mod windowed_retry_budget;
 
-pub use admission::{Admission, AdmissionOptions, Decision, Ticket, Wait};
+pub use admission::{Admission, AdmissionOptions, AdmissionRequest, Decision, Ticket};
 pub use fleet::{FleetAction, FleetEvent, FleetOptions, FleetPlan, FleetPlanner};
-pub use lane::{Lane, LaneAction, LaneOptions};
 pub use placement::{
     LoadReport, Placement, PlacementOptions, PlacementRegistry, PlacementRequest, WorkerKey,
     WorkerView,
 };
-pub use reclaim::{Fate, MoveOptions, plan_moves};
+pub use reclaim::{MoveDecision, MoveOptions, plan_moves};
 pub use retry::{RetryBudget, RetryDecision, RetryOptions};
+pub use scheduler::{Scheduler, SchedulerAction, SchedulerOptions};
--- a/crates/policy/src/observed/call_times.rs
+++ b/crates/policy/src/observed/call_times.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::observed::Recent;
+use crate::observed::RecentSamples;
 
 /// The calls that are held: two seconds' worth at some tens a second.
 const HELD: usize = 64;
@@ -17,14 +17,14 @@
 /// `CallTimes` are how long the calls of one plain service took lately.
 #[derive(Clone, Debug)]
 pub struct CallTimes {
-    recent: Recent<HELD>,
+    recent: RecentSamples<HELD>,
     median: Duration,
-    long: Duration,
+    p95: Duration,
 }
 
 impl Default for CallTimes {
     fn default() -> Self {
-        CallTimes { recent: Recent::default(), median: PRIOR.0, long: PRIOR.1 }
+        CallTimes { recent: RecentSamples::default(), median: PRIOR.0, p95: PRIOR.1 }
     }
 }
 
@@ -37,7 +37,7 @@
         }
         let quantile = |share| self.recent.quantile(share).map(Duration::from_secs_f64);
         self.median = quantile(0.5).unwrap_or(self.median);
-        self.long = quantile(LONG_SHARE).unwrap_or(self.long);
+        self.p95 = quantile(LONG_SHARE).unwrap_or(self.p95);
     }
 
     /// Returns the time that half of the calls take at most.
@@ -46,7 +46,7 @@
     }
 
     /// Returns the time that almost all calls take at most.
-    pub fn long(&self) -> Duration {
-        self.long
+    pub fn p95(&self) -> Duration {
+        self.p95
     }
 }
--- a/crates/policy/src/observed/engine_speed.rs
+++ b/crates/policy/src/observed/engine_latency_estimator.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::observed::{EnginePace, LineFit, Recent};
+use crate::observed::{EngineLatencyModel, LineFit, RecentSamples};
 
 /// The prompt tokens at the nearer point of the prior line of first tokens: a short question.
 const READ_UNIT: f64 = 250.0;
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FirstTokenSample {
     /// The prompt tokens that were to be read.
-    pub to_read: u32,
+    pub prefill_tokens: u32,
     /// The time from the send.
     pub took: Duration,
 }
@@ -38,24 +38,24 @@
     pub expected_tokens: u32,
 }
 
-/// An `EngineSpeed` learns the pace of one service's engines from their answers.
+/// An `EngineLatencyEstimator` learns the pace of one service's engines from their answers.
 #[derive(Clone, Debug)]
-pub struct EngineSpeed {
+pub struct EngineLatencyEstimator {
     first: LineFit,
     gap: LineFit,
-    event_tokens: Recent<STREAMS>,
-    drawn: EnginePace,
+    event_tokens: RecentSamples<STREAMS>,
+    drawn: EngineLatencyModel,
     drawn_at: u64,
-    told: Option<EnginePace>,
+    told: Option<EngineLatencyModel>,
 }
 
-impl Default for EngineSpeed {
+impl Default for EngineLatencyEstimator {
     fn default() -> Self {
-        let prior = EnginePace::default();
-        EngineSpeed {
+        let prior = EngineLatencyModel::default();
+        EngineLatencyEstimator {
             first: LineFit::new(READ_UNIT, prior.first),
             gap: LineFit::new(RUNNING_UNIT, prior.gap),
-            event_tokens: Recent::default(),
+            event_tokens: RecentSamples::default(),
             drawn: prior,
             drawn_at: 0,
             told: None,
@@ -63,10 +63,10 @@
     }
 }
 
-impl EngineSpeed {
+impl EngineLatencyEstimator {
     /// Takes in a first token.
     pub fn note_first_token(&mut self, sample: FirstTokenSample) {
-        self.first.note(f64::from(sample.to_read), sample.took.as_secs_f64() * 1_000.0);
+        self.first.note(f64::from(sample.prefill_tokens), sample.took.as_secs_f64() * 1_000.0);
         self.draw();
     }
 
@@ -78,14 +78,14 @@
     }
 
     /// Takes in what another node learnt; a node that has just started goes by it.
-    pub fn hear(&mut self, told: EnginePace) {
+    pub fn receive(&mut self, told: EngineLatencyModel) {
         if OWN_LEAST <= told.samples {
             self.told = Some(told);
         }
     }
 
     /// Returns the pace.
-    pub fn pace(&self) -> EnginePace {
+    pub fn model(&self) -> EngineLatencyModel {
         match self.told {
             Some(told) if self.drawn.samples < OWN_LEAST => told,
             _ => self.drawn,
@@ -93,7 +93,7 @@
     }
 
     /// Returns what this node learnt itself, to be told to others; none before it saw enough.
-    pub fn own(&self) -> Option<EnginePace> {
+    pub fn own_model(&self) -> Option<EngineLatencyModel> {
         (OWN_LEAST <= self.drawn.samples).then_some(self.drawn)
     }
 
@@ -103,8 +103,8 @@
             return;
         }
         self.drawn_at = samples;
-        let prior = EnginePace::default();
-        self.drawn = EnginePace {
+        let prior = EngineLatencyModel::default();
+        self.drawn = EngineLatencyModel {
             first: self.first.line(),
             gap: self.gap.line(),
             event_tokens: self.event_tokens.median().unwrap_or(prior.event_tokens),
--- a/crates/policy/src/observed/engine_pace.rs
+++ b/crates/policy/src/observed/engine_latency_model.rs
@@ -18,9 +18,9 @@
     }
 }
 
-/// An `EnginePace` is what is believed of the speed of a service's engines.
+/// An `EngineLatencyModel` is what is believed of the speed of a service's engines.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct EnginePace {
+pub struct EngineLatencyModel {
     /// The time until the first token at an engine with no queue, by the prompt tokens to read.
     pub first: Line,
     /// The time between two events of a stream, by the requests that run on the engine.
@@ -34,9 +34,9 @@
 /// The pace while nothing was seen: slower than any engine that was measured so far, by 1.1 to 2.2
 /// times in reading and 1.3 to 2 times in writing, so that the first plan has too many engines and
 /// not too few. It is left behind within the first second with callers.
-impl Default for EnginePace {
+impl Default for EngineLatencyModel {
     fn default() -> Self {
-        EnginePace {
+        EngineLatencyModel {
             first: Line { base: 40.0, slope: 0.02 },
             gap: Line { base: 8.0, slope: 0.2 },
             event_tokens: 1.0,
@@ -45,26 +45,26 @@
     }
 }
 
-impl EnginePace {
+impl EngineLatencyModel {
     /// Returns the time, in milliseconds, that reading prompt tokens takes.
-    pub fn read_ms(&self, tokens: f64) -> f64 {
+    pub fn prefill_ms(&self, tokens: f64) -> f64 {
         self.first.slope * tokens
     }
 
     /// Returns the prompt tokens that are read in a millisecond.
-    pub fn read_per_ms(&self) -> f64 {
+    pub fn prefill_tokens_per_ms(&self) -> f64 {
         1.0 / self.first.slope.max(f64::MIN_POSITIVE)
     }
 
     /// Returns the time, in milliseconds, that an answer takes in a batch of `batch` requests.
-    pub fn answer_ms(&self, tokens: f64, batch: f64) -> f64 {
+    pub fn decode_ms(&self, tokens: f64, batch: f64) -> f64 {
         tokens / self.event_tokens.max(f64::MIN_POSITIVE) * self.gap.at(batch)
     }
 
     /// Returns the part of an engine's time, in milliseconds, that an answer takes up in a batch of
     /// `batch` requests.
-    pub fn answer_work_ms(&self, tokens: f64, batch: f64) -> f64 {
-        self.answer_ms(tokens, batch) / batch.max(1.0)
+    pub fn decode_work_ms(&self, tokens: f64, batch: f64) -> f64 {
+        self.decode_ms(tokens, batch) / batch.max(1.0)
     }
 
     /// Returns what a further running request adds, in milliseconds, to an answer of `tokens`.
--- a/crates/policy/src/observed/mod.rs
+++ b/crates/policy/src/observed/mod.rs
@@ -4,13 +4,13 @@
 //! instead of assuming the speeds of some machines.
 
 mod call_times;
-mod engine_pace;
-mod engine_speed;
+mod engine_latency_estimator;
+mod engine_latency_model;
 mod line_fit;
-mod recent;
+mod recent_samples;
 
 pub use call_times::CallTimes;
-pub use engine_pace::{EnginePace, Line};
-pub use engine_speed::{EngineSpeed, FirstTokenSample, StreamSample};
+pub use engine_latency_estimator::{EngineLatencyEstimator, FirstTokenSample, StreamSample};
+pub use engine_latency_model::{EngineLatencyModel, Line};
 pub use line_fit::LineFit;
-pub use recent::Recent;
+pub use recent_samples::RecentSamples;
--- a/crates/policy/src/observed/recent.rs
+++ b/crates/policy/src/observed/recent_samples.rs
@@ -1,22 +1,22 @@
 //! The last samples of one quantity.
 
-/// A `Recent` holds the last `N` samples of a quantity.
+/// A `RecentSamples` holds the last `N` samples of a quantity.
 ///
 /// What it tells are quantiles: a few samples that were disturbed by a queue, a retransmission or a
 /// server that went away do not move them, as they would move a mean.
 #[derive(Clone, Debug)]
-pub struct Recent<const N: usize> {
+pub struct RecentSamples<const N: usize> {
     samples: [f32; N],
     seen: u64,
 }
 
-impl<const N: usize> Default for Recent<N> {
+impl<const N: usize> Default for RecentSamples<N> {
     fn default() -> Self {
-        Recent { samples: [0.0; N], seen: 0 }
+        RecentSamples { samples: [0.0; N], seen: 0 }
     }
 }
 
-impl<const N: usize> Recent<N> {
+impl<const N: usize> RecentSamples<N> {
     /// Takes in a sample, in place of the oldest; what is no finite number is left out.
     pub fn note(&mut self, sample: f64) {
         if !sample.is_finite() {
--- a/crates/policy/src/parts.rs
+++ b/crates/policy/src/parts.rs
@@ -14,9 +14,9 @@
     pub tokens: u32,
 }
 
-/// A `PartMemory` is a node's own record of the parts that one engine read last.
+/// A `CachedParts` is a node's own record of the parts that one engine read last.
 #[derive(Clone, Debug, Default)]
-pub struct PartMemory {
+pub struct CachedParts {
     parts: HashMap<u64, Kept>,
     tokens: u64,
 }
@@ -27,7 +27,7 @@
     used_at: Stamp,
 }
 
-impl PartMemory {
+impl CachedParts {
     /// Returns the tokens of the leading parts that are believed to be cached.
     ///
     /// A part is of use only if all parts before it are cached too.
--- a/crates/policy/src/placement/baselines.rs
+++ b/crates/policy/src/placement/baselines.rs
@@ -64,8 +64,8 @@
         workers: &[WorkerView],
         _random: &mut dyn Rng,
     ) -> Option<Placed> {
-        let best =
-            candidates(req, workers).min_by_key(|worker| (worker.outstanding, worker.distance));
+        let best = candidates(req, workers)
+            .min_by_key(|worker| (worker.outstanding, worker.network_latency));
         best.map(|worker| placed(req, worker))
     }
 }
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -16,7 +16,7 @@
 pub use baselines::{LeastOutstanding, PrefixAffinity, Random, RoundRobin, TwoChoices};
 pub use hints::PrefixHints;
 pub use options::PlacementOptions;
-pub use predicted::Predicted;
+pub use predicted::PredictedLatency;
 pub use registry::{PlacementDescriptor, PlacementRegistry};
 pub use rendezvous::{affinity_block, rendezvous_score};
 pub use request::{PlacementRequest, Stage};
--- a/crates/policy/src/placement/predicted.rs
+++ b/crates/policy/src/placement/predicted.rs
@@ -14,7 +14,7 @@
 /// The part of a batch, as a divisor, that is not counted on under lagging reports.
 const EARLY_FULL: u32 = 6;
 
-/// `Predicted` chooses at random among the few engines where the first token is predicted first.
+/// `PredictedLatency` chooses at random among the few engines where the first token is predicted first.
 ///
 /// The prediction adds up the way there, the wait for a place in the batch, and the prompt tokens
 /// that have to be computed: those that wait there already and those of this request that the
@@ -23,7 +23,7 @@
 /// Load reports lag behind and all nodes see the same ones. If each took the best engine they
 /// would all rush to it until the next report; the random choice among equals prevents this.
 #[derive(Debug, Default)]
-pub struct Predicted {
+pub struct PredictedLatency {
     options: PlacementOptions,
     hints: PrefixHints,
     scored: Vec<(f64, WorkerKey)>,
@@ -39,10 +39,10 @@
     blocks_held: HeldBlocks,
 }
 
-impl Predicted {
+impl PredictedLatency {
     /// Returns a placement that knows no cache contents yet.
-    pub fn new(options: PlacementOptions) -> Predicted {
-        Predicted { options, ..Predicted::default() }
+    pub fn new(options: PlacementOptions) -> PredictedLatency {
+        PredictedLatency { options, ..PredictedLatency::default() }
     }
 
     fn setting(&self, now: Stamp, req: &PlacementRequest, workers: &[WorkerView]) -> Setting {
@@ -87,7 +87,7 @@
         let place = waiting * step * f64::from(req.answer_tokens) / f64::from(worker.slots.max(1));
         let prefill = (f64::from(worker.backlog(setting.now)) + to_compute) * per_token;
         let first_token = (place + prefill + step) * f64::from(worker.slowness)
-            + 2.0 * worker.distance.as_secs_f64();
+            + 2.0 * worker.network_latency.as_secs_f64();
 
         // A fuller batch makes each step longer for all answers in it.
         let crowding = f64::from(worker.load()) / f64::from(worker.slots.max(1)) * step;
@@ -124,7 +124,7 @@
     }
 }
 
-impl Placement for Predicted {
+impl Placement for PredictedLatency {
     fn place(
         &mut self,
         now: Stamp,
--- a/crates/policy/src/placement/registry.rs
+++ b/crates/policy/src/placement/registry.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use crate::placement::{
-    LeastOutstanding, Placement, PlacementOptions, Predicted, PrefixAffinity, Random, RoundRobin,
-    TwoChoices,
+    LeastOutstanding, Placement, PlacementOptions, PredictedLatency, PrefixAffinity, Random,
+    RoundRobin, TwoChoices,
 };
 
 /// A `PlacementDescriptor` describes one placement and how to make it.
@@ -48,7 +48,7 @@
             PlacementDescriptor {
                 name: "predicted",
                 summary: "the predicted first token, with prefix affinity, price and reclaims",
-                make: |options| Box::new(Predicted::new(options.clone())),
+                make: |options| Box::new(PredictedLatency::new(options.clone())),
             },
             PlacementDescriptor {
                 name: "random",
--- a/crates/policy/src/placement/worker.rs
+++ b/crates/policy/src/placement/worker.rs
@@ -50,7 +50,7 @@
     /// The part of the work that it does.
     pub role: WorkerRole,
     /// The one-way latency to it.
-    pub distance: Duration,
+    pub network_latency: Duration,
     /// The requests that its batch holds.
     pub slots: u32,
     /// The prompt tokens that it computes in a second while it generates too.
@@ -93,7 +93,7 @@
             identity: 0,
             open: true,
             role: WorkerRole::Both,
-            distance: Duration::ZERO,
+            network_latency: Duration::ZERO,
             slots: 32,
             prefill_per_second: 4_000,
             outstanding: 0,
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_core::{Incarnation, Stamp};
 
-use crate::fading::Fading;
+use crate::decaying_sum::DecayingSum;
 
 /// The part of the burst that is enough for a request larger than the burst.
 ///
@@ -89,13 +89,13 @@
     }
 }
 
-/// A `QuotaTold` is what a node tells others of a team.
+/// A `QuotaReport` is what a node tells others of a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct QuotaTold {
+pub struct QuotaReport {
     /// What the team took there since the node's start.
     pub total: f64,
     /// What the team asks for there in a second.
-    pub asked: f64,
+    pub demand: f64,
 }
 
 /// A `Quota` is one team's bucket at one node.
@@ -109,7 +109,7 @@
     filled_at: Stamp,
     own: f64,
     peers: BTreeMap<Incarnation, Heard>,
-    asked: Fading,
+    asked: DecayingSum,
     reserve: f64,
     /// What was taken at other nodes since they were first heard, by who told it.
     taken: TakenElsewhere,
@@ -117,7 +117,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Heard {
-    told: QuotaTold,
+    told: QuotaReport,
     at: Stamp,
     /// What of it was subtracted here.
     taken: f64,
@@ -154,7 +154,7 @@
             filled_at: Stamp::default(),
             own: 0.0,
             peers: BTreeMap::new(),
-            asked: Fading::new(ASKED_OVER),
+            asked: DecayingSum::new(ASKED_OVER),
             reserve: 0.0,
             taken: TakenElsewhere::default(),
         }
@@ -166,7 +166,7 @@
     ///
     /// It is empty: what was taken before is not known. Full buckets would let a team take its burst
     /// once more at each node with every restart, and all nodes may restart at once.
-    pub fn drained(now: Stamp) -> Quota {
+    pub fn empty(now: Stamp) -> Quota {
         Quota { level: Some(0.0), filled_at: now, ..Quota::default() }
     }
 
@@ -205,7 +205,7 @@
     }
 
     /// Gives back what a request took that did not run.
-    pub fn give_back(&mut self, amount: f64) {
+    pub fn refund(&mut self, amount: f64) {
         self.own -= amount;
         self.level = self.level.map(|level| level + amount);
         self.reserve += amount;
@@ -217,36 +217,36 @@
     }
 
     /// Returns what this node alone took, to be told to others.
-    pub fn told(&self, now: Stamp) -> QuotaTold {
-        QuotaTold { total: self.own, asked: self.asked.rate(now) }
+    pub fn report(&self, now: Stamp) -> QuotaReport {
+        QuotaReport { total: self.own, demand: self.asked.rate(now) }
     }
 
     /// Returns what was taken here and at the nodes that tell this one themselves, to be told to relays of
     /// other zones.
-    pub fn told_of_zone(&self, now: Stamp) -> QuotaTold {
+    pub fn zone_report(&self, now: Stamp) -> QuotaReport {
         let asked = self.asked.rate(now) + self.heard_asked(now, |_, heard| heard.is_node());
-        QuotaTold { total: self.own + self.taken.by_nodes, asked }
+        QuotaReport { total: self.own + self.taken.by_nodes, demand: asked }
     }
 
     /// Returns what was taken at all nodes but `asker`, to be told to that one.
-    pub fn told_of_others(&self, now: Stamp, asker: Incarnation) -> QuotaTold {
+    pub fn report_excluding(&self, now: Stamp, asker: Incarnation) -> QuotaReport {
         let of_asker = self.peers.get(&asker).map_or(0.0, |heard| heard.taken);
         let taken = self.taken.by_nodes + self.taken.by_sums - of_asker;
         let asked = self.asked.rate(now) + self.heard_asked(now, |peer, _| peer != asker);
-        QuotaTold { total: self.own + taken, asked }
+        QuotaReport { total: self.own + taken, demand: asked }
     }
 
     /// Notes what another node took since its start.
-    pub fn hear(&mut self, now: Stamp, peer: Incarnation, told: QuotaTold) {
+    pub fn receive(&mut self, now: Stamp, peer: Incarnation, told: QuotaReport) {
         self.note(now, peer, told, Teller::Node);
     }
 
     /// Notes what `nodes` nodes took, as the relay `peer` sums it up.
-    pub fn hear_sum(&mut self, now: Stamp, peer: Incarnation, told: QuotaTold, nodes: u32) {
+    pub fn receive_sum(&mut self, now: Stamp, peer: Incarnation, told: QuotaReport, nodes: u32) {
         self.note(now, peer, told, Teller::Sum(nodes));
     }
 
-    fn note(&mut self, now: Stamp, peer: Incarnation, told: QuotaTold, teller: Teller) {
+    fn note(&mut self, now: Stamp, peer: Incarnation, told: QuotaReport, teller: Teller) {
         // What a node took before this one knew it has been filled up again or was counted by
         // the burst that this node did not take at its start.
         let known =
@@ -279,7 +279,7 @@
         let mut asked = 0.0;
         for (peer, heard) in &self.peers {
             if heard.is_fresh(now) && counts(*peer, heard) {
-                asked += heard.told.asked;
+                asked += heard.told.demand;
             }
         }
         asked
--- a/crates/policy/src/recent_parts.rs
+++ b/crates/policy/src/recent_parts.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns each part that was first sent within the last `told_for`.
-    pub fn told(&mut self, now: Stamp, told_for: Duration) -> Vec<PromptPart> {
+    pub fn updates(&mut self, now: Stamp, told_for: Duration) -> Vec<PromptPart> {
         self.forget(now);
         let newest = self.sent.iter().rev().take_while(|(at, _)| now.since(*at) < told_for);
         newest.map(|(_, part)| *part).collect()
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -29,22 +29,22 @@
     }
 }
 
-/// A `Running` is one request on the engine.
+/// A `RunningRequest` is one request on the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Running<K> {
+pub struct RunningRequest<K> {
     /// The request.
     pub key: K,
     /// The tokens of its prompt and of what was emitted.
     pub tokens: u32,
     /// Those of them that the engine it would go to holds already.
-    pub held_there: u32,
+    pub cached_at_target: u32,
     /// The time that its answer still takes here, at most.
     pub remaining: Duration,
 }
 
-/// A `Fate` is what happens to a request of an engine that is taken back.
+/// A `MoveDecision` is what happens to a request of an engine that is taken back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum MoveDecision {
     /// It ends here within the notice.
     Finish,
     /// Its KV cache is moved; the span is from the notice to the end of the move.
@@ -59,15 +59,15 @@
 /// computing for each byte, as long as moving takes less than computing and the notice lasts.
 pub fn plan_moves<K: Copy + Ord>(
     notice: Duration,
-    running: &[Running<K>],
+    running: &[RunningRequest<K>],
     options: &MoveOptions,
-) -> Vec<(K, Fate)> {
+) -> Vec<(K, MoveDecision)> {
     let usable = notice.mul_f64(1.0 - options.safety);
     let mut plan = Vec::with_capacity(running.len());
     let mut to_move = Vec::new();
     for one in running {
         if one.remaining <= usable {
-            plan.push((one.key, Fate::Finish));
+            plan.push((one.key, MoveDecision::Finish));
             continue;
         }
         to_move.push(one);
@@ -82,19 +82,19 @@
     let first_move = plan.len();
     for one in to_move {
         let move_time = options.move_time(one.tokens);
-        let saved = options.recompute_time(one.tokens.saturating_sub(one.held_there));
+        let saved = options.recompute_time(one.tokens.saturating_sub(one.cached_at_target));
         let worth = move_time.as_secs_f64() < saved.as_secs_f64() * options.recomputed;
         if !worth || usable < spent + move_time {
-            plan.push((one.key, Fate::Resume));
+            plan.push((one.key, MoveDecision::Resume));
             continue;
         }
         spent += move_time;
-        plan.push((one.key, Fate::Move(spent)));
+        plan.push((one.key, MoveDecision::Move(spent)));
     }
     // Moves are made as late as the notice allows: many answers are shorter than they may be and
     // end by themselves meanwhile, and each move costs the tokens of its last, unfinished block.
     for (_, fate) in &mut plan[first_move..] {
-        if let Fate::Move(end) = fate {
+        if let MoveDecision::Move(end) = fate {
             *end += usable - spent;
         }
     }
@@ -112,6 +112,6 @@
     }
 }
 
-fn saved_per_token<K>(one: &Running<K>) -> f64 {
-    f64::from(one.tokens.saturating_sub(one.held_there)) / f64::from(one.tokens.max(1))
+fn saved_per_token<K>(one: &RunningRequest<K>) -> f64 {
+    f64::from(one.tokens.saturating_sub(one.cached_at_target)) / f64::from(one.tokens.max(1))
 }
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/scheduler.rs
@@ -9,9 +9,10 @@
 use rand::Rng;
 
 use crate::{
-    admission::{Admission, AdmissionOptions, Decision, Ticket, Wait},
+    admission::{Admission, AdmissionOptions, AdmissionRequest, Decision, Ticket},
     placement::{
-        LoadReport, Placement, PlacementOptions, PlacementRequest, Predicted, WorkerKey, WorkerView,
+        LoadReport, Placement, PlacementOptions, PlacementRequest, PredictedLatency, WorkerKey,
+        WorkerView,
     },
 };
 
@@ -24,9 +25,9 @@
 /// The shortest prediction that a slowness is measured against.
 const LEAST_PREDICTION: Duration = Duration::from_millis(20);
 
-/// A `LaneAction` is what a [`Lane`] wants done.
+/// A `SchedulerAction` is what a [`Scheduler`] wants done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LaneAction {
+pub enum SchedulerAction {
     /// The request is accepted and waits.
     Accept(Ticket),
     /// The request is refused; the caller may come back after the given time.
@@ -34,14 +35,14 @@
     /// The request is to run on this engine now.
     Start(Ticket, WorkerKey),
     /// The request was to run now, but no engine takes work.
-    Nowhere(Ticket),
+    NoWorker(Ticket),
     /// The request's deadline has passed while it waited.
     Expire(Ticket),
 }
 
-/// `LaneOptions` size a [`Lane`].
+/// `SchedulerOptions` size a [`Scheduler`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct LaneOptions {
+pub struct SchedulerOptions {
     /// The bounds of the queue.
     pub admission: AdmissionOptions,
     /// The weights of placement.
@@ -50,9 +51,9 @@
     pub nodes: usize,
 }
 
-impl Default for LaneOptions {
+impl Default for SchedulerOptions {
     fn default() -> Self {
-        LaneOptions {
+        SchedulerOptions {
             admission: AdmissionOptions::default(),
             placement: PlacementOptions::default(),
             nodes: 1,
@@ -60,8 +61,8 @@
     }
 }
 
-/// A `Lane` takes the requests of one service from arrival to their place on an engine.
-pub struct Lane {
+/// A `Scheduler` takes the requests of one service from arrival to their place on an engine.
+pub struct Scheduler {
     admission: Admission,
     placement: Box<dyn Placement>,
     nodes: usize,
@@ -87,16 +88,16 @@
     wrote: bool,
 }
 
-impl Lane {
-    /// Returns a lane without engines that places by [`Predicted`].
-    pub fn new(options: LaneOptions) -> Lane {
-        let placement = Box::new(Predicted::new(options.placement.clone()));
-        Lane::with_placement(options, placement)
+impl Scheduler {
+    /// Returns a lane without engines that places by [`PredictedLatency`].
+    pub fn new(options: SchedulerOptions) -> Scheduler {
+        let placement = Box::new(PredictedLatency::new(options.placement.clone()));
+        Scheduler::with_placement(options, placement)
     }
 
     /// Returns a lane without engines.
-    pub fn with_placement(options: LaneOptions, placement: Box<dyn Placement>) -> Lane {
-        Lane {
+    pub fn with_placement(options: SchedulerOptions, placement: Box<dyn Placement>) -> Scheduler {
+        Scheduler {
             admission: Admission::new(options.admission),
             placement,
             nodes: options.nodes.max(1),
@@ -141,10 +142,10 @@
     pub fn submit(
         &mut self,
         now: Stamp,
-        wait: Wait,
+        wait: AdmissionRequest,
         req: PlacementRequest,
         random: &mut dyn Rng,
-    ) -> (Ticket, Vec<LaneAction>) {
+    ) -> (Ticket, Vec<SchedulerAction>) {
         let (ticket, decisions) = self.admission.arrive(now, wait, random);
         self.waiting.insert(ticket, req);
         (ticket, self.carry_out(now, decisions, random))
@@ -156,7 +157,7 @@
         now: Stamp,
         ticket: Ticket,
         random: &mut dyn Rng,
-    ) -> Vec<LaneAction> {
+    ) -> Vec<SchedulerAction> {
         if let Some(run) = self.running.remove(&ticket) {
             self.change(now, run.worker, -1);
             if let Some(worker) = self.worker_mut(run.worker) {
@@ -188,14 +189,15 @@
         now: Stamp,
         workers: Vec<WorkerView>,
         random: &mut dyn Rng,
-    ) -> Vec<LaneAction> {
+    ) -> Vec<SchedulerAction> {
         let before = std::mem::replace(&mut self.workers, workers);
         for worker in &mut self.workers {
             let Some(known) = before.iter().find(|known| known.key == worker.key) else { continue };
             let (price, reclaimable) = (worker.price, worker.reclaimable);
-            let (distance, role) = (worker.distance, worker.role);
+            let (network_latency, role) = (worker.network_latency, worker.role);
             let open = worker.open && known.open;
-            *worker = WorkerView { price, reclaimable, distance, role, open, ..known.clone() };
+            *worker =
+                WorkerView { price, reclaimable, network_latency, role, open, ..known.clone() };
         }
         for known in before {
             if self.workers.iter().any(|worker| worker.key == known.key) {
@@ -208,7 +210,12 @@
     }
 
     /// Closes an engine for new work for good: its VM is leaving.
-    pub fn close(&mut self, now: Stamp, key: WorkerKey, random: &mut dyn Rng) -> Vec<LaneAction> {
+    pub fn close(
+        &mut self,
+        now: Stamp,
+        key: WorkerKey,
+        random: &mut dyn Rng,
+    ) -> Vec<SchedulerAction> {
         if let Some(worker) = self.worker_mut(Some(key)) {
             worker.open = false;
         }
@@ -222,7 +229,7 @@
         key: WorkerKey,
         report: LoadReport,
         random: &mut dyn Rng,
-    ) -> Vec<LaneAction> {
+    ) -> Vec<SchedulerAction> {
         let recent = self.recent.entry(key).or_default();
         while recent.front().is_some_and(|change| change.at <= report.taken_at) {
             recent.pop_front();
@@ -248,7 +255,7 @@
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Stamp, random: &mut dyn Rng) -> Vec<LaneAction> {
+    pub fn tick(&mut self, now: Stamp, random: &mut dyn Rng) -> Vec<SchedulerAction> {
         let decisions = self.admission.tick(now);
         self.carry_out(now, decisions, random)
     }
@@ -257,7 +264,7 @@
     // engines would get several times what they can hold and first tokens would wait there. A
     // node takes its part of what is free, and keeps its part of the whole in any case: it would
     // otherwise never start while its neighbours fill the engines.
-    fn resize(&mut self, now: Stamp, random: &mut dyn Rng) -> Vec<LaneAction> {
+    fn resize(&mut self, now: Stamp, random: &mut dyn Rng) -> Vec<SchedulerAction> {
         let (mut load, mut slots, mut own) = (0_usize, 0_usize, 0_usize);
         for worker in self.workers.iter().filter(|worker| worker.open) {
             load += worker.load() as usize;
@@ -277,18 +284,18 @@
         now: Stamp,
         decisions: Vec<Decision>,
         random: &mut dyn Rng,
-    ) -> Vec<LaneAction> {
+    ) -> Vec<SchedulerAction> {
         let mut out = Vec::with_capacity(decisions.len());
         for decision in decisions {
             match decision {
-                Decision::Accept(ticket) => out.push(LaneAction::Accept(ticket)),
+                Decision::Accept(ticket) => out.push(SchedulerAction::Accept(ticket)),
                 Decision::Refuse(ticket, after) => {
                     self.waiting.remove(&ticket);
-                    out.push(LaneAction::Refuse(ticket, after));
+                    out.push(SchedulerAction::Refuse(ticket, after));
                 }
                 Decision::Expire(ticket) => {
                     self.waiting.remove(&ticket);
-                    out.push(LaneAction::Expire(ticket));
+                    out.push(SchedulerAction::Expire(ticket));
                 }
                 Decision::Start(ticket) => out.push(self.place(now, ticket, random)),
             }
@@ -296,7 +303,7 @@
         out
     }
 
-    fn place(&mut self, now: Stamp, ticket: Ticket, random: &mut dyn Rng) -> LaneAction {
+    fn place(&mut self, now: Stamp, ticket: Ticket, random: &mut dyn Rng) -> SchedulerAction {
         let req = self.waiting.remove(&ticket).unwrap_or_default();
         let placed = self.placement.place(now, &req, &self.workers, random);
         let worker = placed.map(|placed| placed.worker);
@@ -313,7 +320,7 @@
         }
         self.running.insert(ticket, run);
         self.change(now, worker, 1);
-        worker.map_or(LaneAction::Nowhere(ticket), |key| LaneAction::Start(ticket, key))
+        worker.map_or(SchedulerAction::NoWorker(ticket), |key| SchedulerAction::Start(ticket, key))
     }
 
     fn change(&mut self, now: Stamp, key: Option<WorkerKey>, requests: i32) {
--- a/crates/policy/src/team_limits.rs
+++ b/crates/policy/src/team_limits.rs
@@ -20,28 +20,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TeamLimit {
     /// The requests at once.
-    AtOnce,
+    Concurrency,
     /// The requests over time.
     Requests,
     /// The tokens over time.
     Tokens,
 }
 
-/// A `Limited` tells that a request is over a limit of its team.
+/// A `LimitExceeded` tells that a request is over a limit of its team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limited {
+pub struct LimitExceeded {
     /// The limit.
     pub limit: TeamLimit,
     /// After which time the team may come back.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
 
-/// A `Gate` holds each team to its limits at one node.
+/// A `TeamLimiter` holds each team to its limits at one node.
 ///
 /// A limit is meant for all nodes together. Each node grants an equal part of it, so that no
 /// messages are needed; a team that uses only some of the nodes gets less than its limit.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct TeamLimiter {
     teams: BTreeMap<TeamName, State>,
 }
 
@@ -61,29 +61,32 @@
     at: Stamp,
 }
 
-impl Gate {
+impl TeamLimiter {
     /// Takes a request of a team into account, or tells which limit it has met.
-    pub fn enter(
+    pub fn admit(
         &mut self,
         now: Stamp,
         team: &TeamName,
         limits: &TeamConfig,
         nodes: usize,
         tokens: u32,
-    ) -> Result<(), Limited> {
+    ) -> Result<(), LimitExceeded> {
         let state = self.teams.entry(team.clone()).or_default();
         state.requests.refill(now, limits.requests, nodes);
         state.tokens.refill(now, limits.tokens, nodes);
 
         let most = limits.at_once.map(|most| part_of(most, nodes));
         if most.is_some_and(|most| most <= state.at_once) {
-            return Err(Limited { limit: TeamLimit::AtOnce, after: AT_ONCE_AFTER });
+            return Err(LimitExceeded {
+                limit: TeamLimit::Concurrency,
+                retry_after: AT_ONCE_AFTER,
+            });
         }
         if let Some(after) = state.requests.short_for(limits.requests, nodes, 1.0) {
-            return Err(Limited { limit: TeamLimit::Requests, after });
+            return Err(LimitExceeded { limit: TeamLimit::Requests, retry_after: after });
         }
         if let Some(after) = state.tokens.short_for(limits.tokens, nodes, TOKENS_LEAST) {
-            return Err(Limited { limit: TeamLimit::Tokens, after });
+            return Err(LimitExceeded { limit: TeamLimit::Tokens, retry_after: after });
         }
         state.at_once += 1;
         state.requests.take(1.0);
@@ -92,7 +95,7 @@
     }
 
     /// Gives back what a request took that was not accepted after all.
-    pub fn withdraw(&mut self, team: &TeamName, tokens: u32) {
+    pub fn refund(&mut self, team: &TeamName, tokens: u32) {
         let Some(state) = self.teams.get_mut(team) else { return };
         state.at_once = state.at_once.saturating_sub(1);
         state.requests.take(-1.0);
@@ -100,7 +103,7 @@
     }
 
     /// Notes that an accepted request of a team has ended.
-    pub fn leave(&mut self, team: &TeamName) {
+    pub fn release(&mut self, team: &TeamName) {
         let Some(state) = self.teams.get_mut(team) else { return };
         state.at_once = state.at_once.saturating_sub(1);
     }
--- a/crates/policy/tests/call_times.rs
+++ b/crates/policy/tests/call_times.rs
@@ -5,7 +5,7 @@
 use bulrushhall_policy::{
     observed::CallTimes,
     placement::WorkerKey,
-    plain_choice::{PlainView, choose_plain},
+    server_choice::{ServerView, choose_server},
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
@@ -24,31 +24,31 @@
     }
     let within = Duration::from_millis(usual)..=Duration::from_millis(usual + 3);
     assert!(within.contains(&times.median()), "{:?}", times.median());
-    assert!(within.contains(&times.long()), "{:?}", times.long());
+    assert!(within.contains(&times.p95()), "{:?}", times.p95());
 }
 
 #[test]
 fn first_calls() {
     let mut times = CallTimes::default();
-    let before = times.long();
+    let before = times.p95();
     times.note(Duration::from_secs(9));
-    assert_eq!(times.long(), before, "one call tells nothing yet");
+    assert_eq!(times.p95(), before, "one call tells nothing yet");
 }
 
 // The wait behind others is as long as the service's own calls take.
 #[test]
 fn expected_wait() {
     let mut keys: SlotMap<WorkerKey, ()> = SlotMap::with_key();
-    let view = PlainView {
+    let view = ServerView {
         key: keys.insert(()),
         slots: 6,
         calls: 11,
-        distance: Duration::ZERO,
-        failing: 0.0,
-        avoided: false,
+        network_latency: Duration::ZERO,
+        failure_rate: 0.0,
+        circuit_open: false,
     };
     let mut random = Pcg64::seed_from_u64(1);
     let call = Duration::from_millis(30);
-    let (_, wait) = choose_plain(&[view], call, &mut random).expect("a server");
+    let (_, wait) = choose_server(&[view], call, &mut random).expect("a server");
     assert_eq!(wait, Duration::from_millis(30));
 }
--- a/crates/policy/tests/caller_patience.rs
+++ b/crates/policy/tests/caller_patience.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bulrushhall_policy::patience::Patience;
+use bulrushhall_policy::latency_budget::LatencyBudget;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -11,17 +11,18 @@
     Duration::from_millis(millis)
 }
 
-const SURVEY: Patience =
-    Patience { target: millis(800), gap: Some(millis(250)), left: millis(10_000) };
-const ORDER: Patience = Patience { target: millis(100), gap: None, left: millis(1_500) };
+const SURVEY: LatencyBudget =
+    LatencyBudget { target: millis(800), max_gap: Some(millis(250)), remaining: millis(10_000) };
+const ORDER: LatencyBudget =
+    LatencyBudget { target: millis(100), max_gap: None, remaining: millis(1_500) };
 
 #[rstest]
 #[case(SURVEY, 3_200)]
-#[case(Patience { target: millis(400), ..SURVEY }, 2_000)]
-#[case(Patience { left: millis(700), ..SURVEY }, 700)]
+#[case(LatencyBudget { target: millis(400), ..SURVEY }, 2_000)]
+#[case(LatencyBudget { remaining: millis(700), ..SURVEY }, 700)]
 #[case(ORDER, 1_500)]
-fn until_first(#[case] patience: Patience, #[case] expected: u64) {
-    assert_eq!(patience.until_first(), millis(expected));
+fn first_event_timeout(#[case] patience: LatencyBudget, #[case] expected: u64) {
+    assert_eq!(patience.first_event_timeout(), millis(expected));
 }
 
 // A burst fills all engines for seconds. A request behind that queue would be late, and its prompt would
@@ -29,9 +30,9 @@
 #[test]
 fn burst() {
     let mut random = Pcg64::seed_from_u64(1);
-    assert!(SURVEY.judge(millis(700), &mut random).is_ok());
+    assert!(SURVEY.check_wait(millis(700), &mut random).is_ok());
     for _ in 0..100 {
-        let after = SURVEY.judge(millis(1_800), &mut random).expect_err("it would be late");
+        let after = SURVEY.check_wait(millis(1_800), &mut random).expect_err("it would be late");
         assert!(millis(1_000) <= after && after <= millis(1_500), "{after:?}");
     }
 }
@@ -40,7 +41,7 @@
 #[test]
 fn little_time() {
     let mut random = Pcg64::seed_from_u64(1);
-    let patience = Patience { left: millis(300), ..SURVEY };
-    assert!(patience.judge(millis(250), &mut random).is_err());
-    assert!(patience.judge(millis(150), &mut random).is_ok());
+    let patience = LatencyBudget { remaining: millis(300), ..SURVEY };
+    assert!(patience.check_wait(millis(250), &mut random).is_err());
+    assert!(patience.check_wait(millis(150), &mut random).is_ok());
 }
--- a/crates/policy/tests/copy_source.rs
+++ b/crates/policy/tests/copy_source.rs
@@ -1,7 +1,7 @@
 //! The engine that another one copies prompt parts from.
 
 use bulrushhall_policy::{
-    copy_source::{COPIED_LEAST, SourceView, choose_source},
+    copy_source::{MIN_COPIED_TOKENS, SourceView, choose_source},
     placement::WorkerKey,
 };
 use rstest::rstest;
@@ -14,16 +14,16 @@
     let mut source = || SourceView {
         key: keys.insert(()),
         cached: KEPT,
-        near: false,
+        same_zone: false,
         requests: 8,
-        failing: 0.0,
+        failure_rate: 0.0,
     };
     [source(), source(), source()]
 }
 
 #[rstest]
 #[case::keeps_most(|sources: &mut [SourceView; 3]| sources[1].cached = KEPT + 1)]
-#[case::nearest(|sources: &mut [SourceView; 3]| sources[1].near = true)]
+#[case::nearest(|sources: &mut [SourceView; 3]| sources[1].same_zone = true)]
 #[case::idlest(|sources: &mut [SourceView; 3]| sources[1].requests = 7)]
 fn best_source(#[case] improve: fn(&mut [SourceView; 3])) {
     let mut sources = sources();
@@ -34,7 +34,7 @@
 
 #[test]
 fn not_worth_it() {
-    let cached = KEPT - COPIED_LEAST;
+    let cached = KEPT - MIN_COPIED_TOKENS;
     assert!(choose_source(sources(), cached).is_some());
     assert!(choose_source(sources(), cached + 1).is_none());
 }
@@ -45,9 +45,9 @@
 fn failing_source() {
     let mut sources = sources();
     for source in &mut sources {
-        source.failing = 0.5;
+        source.failure_rate = 0.5;
     }
     assert!(choose_source(sources, 0).is_none());
-    sources[2].failing = 0.1;
+    sources[2].failure_rate = 0.1;
     assert_eq!(choose_source(sources, 0).expect("a source").key, sources[2].key);
 }
--- a/crates/policy/tests/engine_choice.rs
+++ b/crates/policy/tests/engine_choice.rs
@@ -7,8 +7,8 @@
 use bulrushhall_core::Stamp;
 use bulrushhall_policy::{
     engine_choice::{EngineRequest, EngineView, choose_engine},
-    observed::EnginePace,
-    parts::{PartMemory, PromptPart},
+    observed::EngineLatencyModel,
+    parts::{CachedParts, PromptPart},
     placement::WorkerKey,
 };
 use rand::{RngExt, SeedableRng};
@@ -24,14 +24,14 @@
 }
 
 fn request(parts: &[PromptPart]) -> EngineRequest<'_> {
-    let pace = EnginePace::default();
+    let pace = EngineLatencyModel::default();
     EngineRequest {
         parts,
-        prompt: 17_000,
-        answer: 120,
-        kept: 0,
+        prompt_tokens: 17_000,
+        answer_tokens: 120,
+        cached_elsewhere: 0,
         copied_per_ms: 0.0,
-        pace,
+        model: pace,
         unseen_tokens: 0.0,
     }
 }
@@ -48,7 +48,7 @@
     let mut views = engines(8);
     views[3].cached = PART.tokens;
     let chosen = choose_engine(request(&[PART]), &views, &mut random).expect("an engine");
-    assert_eq!((chosen.key, chosen.to_read), (views[3].key, 3_700));
+    assert_eq!((chosen.key, chosen.prefill_tokens), (views[3].key, 3_700));
     // Once the queue there is longer than reading the part elsewhere, the part spreads.
     views[3].waiting_tokens = 40_000;
     let chosen = choose_engine(request(&[PART]), &views, &mut random).expect("an engine");
@@ -62,7 +62,8 @@
     let mut random = Pcg64::seed_from_u64(1);
     let mut views = engines(8);
     views[3].cached = PART.tokens;
-    let copying = EngineRequest { kept: PART.tokens, copied_per_ms: 400.0, ..request(&[PART]) };
+    let copying =
+        EngineRequest { cached_elsewhere: PART.tokens, copied_per_ms: 400.0, ..request(&[PART]) };
     // A short queue is waited for: a copy takes room in a second memory.
     views[3].waiting_tokens = 2_000;
     let chosen = choose_engine(copying, &views, &mut random).expect("an engine");
@@ -70,7 +71,7 @@
     views[3].waiting_tokens = 12_000;
     let chosen = choose_engine(copying, &views, &mut random).expect("an engine");
     assert_ne!(chosen.key, views[3].key);
-    assert!(0 < chosen.copied && chosen.to_read < 4_000, "{chosen:?}");
+    assert!(0 < chosen.copied && chosen.prefill_tokens < 4_000, "{chosen:?}");
     assert!(chosen.first_token < Duration::from_millis(150), "{chosen:?}");
     // Where engines can't copy, the caller waits, wherever the request goes.
     let reading = EngineRequest { copied_per_ms: 0.0, ..copying };
@@ -112,11 +113,11 @@
 fn avoided_engine() {
     let mut random = Pcg64::seed_from_u64(1);
     let mut views = engines(2);
-    views[0].avoided = true;
+    views[0].circuit_open = true;
     views[1].waiting_tokens = 90_000;
     let chosen = choose_engine(request(&[]), &views, &mut random).expect("an engine");
     assert_eq!(chosen.key, views[1].key);
-    views[1].avoided = true;
+    views[1].circuit_open = true;
     assert!(choose_engine(request(&[]), &views, &mut random).is_some());
 }
 
@@ -127,7 +128,7 @@
     let longest = |chooses: bool| {
         let mut random = Pcg64::seed_from_u64(5);
         let mut views = engines(12);
-        let mut memories = vec![PartMemory::default(); 12];
+        let mut memories = vec![CachedParts::default(); 12];
         for number in 0..200 {
             let parts = [PromptPart { id: random.random_range(0..69), tokens: 13_300 }];
             for (view, memory) in views.iter_mut().zip(&memories) {
@@ -152,7 +153,7 @@
 
 #[test]
 fn memory_yields() {
-    let mut memory = PartMemory::default();
+    let mut memory = CachedParts::default();
     let part = |id| PromptPart { id, tokens: 100 };
     memory.note(Stamp(1), &[part(1), part(2)], 250);
     memory.note(Stamp(2), &[part(1)], 250);
--- a/crates/policy/tests/engine_speed.rs
+++ b/crates/policy/tests/engine_speed.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use bulrushhall_policy::observed::{EnginePace, EngineSpeed, FirstTokenSample, StreamSample};
+use bulrushhall_policy::observed::{
+    EngineLatencyEstimator, EngineLatencyModel, FirstTokenSample, StreamSample,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -10,7 +12,7 @@
 /// An engine as callers meet it.
 #[derive(Clone, Copy)]
 struct Engine {
-    read_per_ms: f64,
+    prefill_tokens_per_ms: f64,
     step_ms: f64,
     step_ms_more: f64,
     event_tokens: f64,
@@ -24,14 +26,14 @@
 }
 
 const USUAL: Engine =
-    Engine { read_per_ms: 60.0, step_ms: 4.0, step_ms_more: 0.1, event_tokens: 4.0 };
+    Engine { prefill_tokens_per_ms: 60.0, step_ms: 4.0, step_ms_more: 0.1, event_tokens: 4.0 };
 const CALM: Load = Load { disturbed: 0.1, lengthened: 1.5 };
 const BURST: Load = Load { disturbed: 0.45, lengthened: 3.0 };
 
 impl Engine {
     fn times(self, factor: f64) -> Engine {
         Engine {
-            read_per_ms: self.read_per_ms * factor,
+            prefill_tokens_per_ms: self.prefill_tokens_per_ms * factor,
             step_ms: self.step_ms / factor,
             step_ms_more: self.step_ms_more / factor,
             ..self
@@ -39,19 +41,25 @@
     }
 
     fn work_ms(self, read: f64, answer: f64, batch: f64) -> f64 {
-        read / self.read_per_ms + answer * (self.step_ms / batch + self.step_ms_more)
+        read / self.prefill_tokens_per_ms + answer * (self.step_ms / batch + self.step_ms_more)
     }
 
-    fn learn(self, speed: &mut EngineSpeed, samples: u32, load: Load, random: &mut Pcg64) {
+    fn learn(
+        self,
+        speed: &mut EngineLatencyEstimator,
+        samples: u32,
+        load: Load,
+        random: &mut Pcg64,
+    ) {
         let late = |random: &mut Pcg64| {
             let disturbed = random.random_bool(load.disturbed);
             if disturbed { random.random_range(1.0..load.lengthened) } else { 1.0 }
         };
         for _ in 0..samples / 2 {
             let to_read = random.random_range(200..14_000);
-            let took = 30.0 + f64::from(to_read) / self.read_per_ms;
+            let took = 30.0 + f64::from(to_read) / self.prefill_tokens_per_ms;
             let took = Duration::from_secs_f64(took * late(random) / 1_000.0);
-            speed.note_first_token(FirstTokenSample { to_read, took });
+            speed.note_first_token(FirstTokenSample { prefill_tokens: to_read, took });
             let running = random.random_range(2..40);
             let gap = (self.step_ms + self.step_ms_more * f64::from(running)) * self.event_tokens;
             let gap = Duration::from_secs_f64(gap * late(random) / 1_000.0);
@@ -63,8 +71,8 @@
     }
 }
 
-fn off(pace: &EnginePace, engine: Engine) -> f64 {
-    let learnt = pace.read_ms(8_000.0) + pace.answer_work_ms(300.0, 32.0);
+fn off(pace: &EngineLatencyModel, engine: Engine) -> f64 {
+    let learnt = pace.prefill_ms(8_000.0) + pace.decode_work_ms(300.0, 32.0);
     learnt / engine.work_ms(8_000.0, 300.0, 32.0)
 }
 
@@ -76,12 +84,12 @@
     for seed in 0..20 {
         let mut random = Pcg64::seed_from_u64(seed);
         let engine = USUAL.times(factor);
-        let mut speed = EngineSpeed::default();
+        let mut speed = EngineLatencyEstimator::default();
         engine.learn(&mut speed, 20, load, &mut random);
-        let early = off(&speed.pace(), engine);
+        let early = off(&speed.model(), engine);
         assert!((0.5..2.0).contains(&early), "{early} times after 20 samples, seed {seed}");
         engine.learn(&mut speed, 180, load, &mut random);
-        let late = off(&speed.pace(), engine);
+        let late = off(&speed.model(), engine);
         assert!((0.85..1.15).contains(&late), "{late} times after 200 samples, seed {seed}");
     }
 }
@@ -91,11 +99,11 @@
 #[test]
 fn sudden_change() {
     let mut random = Pcg64::seed_from_u64(5);
-    let mut speed = EngineSpeed::default();
+    let mut speed = EngineLatencyEstimator::default();
     USUAL.learn(&mut speed, 400, CALM, &mut random);
     let slow = USUAL.times(0.5);
     slow.learn(&mut speed, 150, CALM, &mut random);
-    let late = off(&speed.pace(), slow);
+    let late = off(&speed.model(), slow);
     assert!((0.85..1.15).contains(&late), "{late} times within three seconds");
 }
 
@@ -104,12 +112,12 @@
 #[test]
 fn one_slow() {
     let mut random = Pcg64::seed_from_u64(6);
-    let mut speed = EngineSpeed::default();
+    let mut speed = EngineLatencyEstimator::default();
     for _ in 0..100 {
         USUAL.learn(&mut speed, 18, CALM, &mut random);
         USUAL.times(0.2).learn(&mut speed, 2, CALM, &mut random);
     }
-    let late = off(&speed.pace(), USUAL);
+    let late = off(&speed.model(), USUAL);
     assert!((0.85..1.15).contains(&late), "{late} times");
 }
 
@@ -118,28 +126,28 @@
 #[test]
 fn told_speed() {
     let mut random = Pcg64::seed_from_u64(7);
-    let mut known = EngineSpeed::default();
+    let mut known = EngineLatencyEstimator::default();
     USUAL.times(2.0).learn(&mut known, 200, CALM, &mut random);
-    let mut started = EngineSpeed::default();
-    assert_eq!(started.pace(), EnginePace::default());
-    assert_eq!(started.own(), None);
-    started.hear(known.own().expect("enough samples"));
-    assert_eq!(started.pace(), known.pace());
+    let mut started = EngineLatencyEstimator::default();
+    assert_eq!(started.model(), EngineLatencyModel::default());
+    assert_eq!(started.own_model(), None);
+    started.receive(known.own_model().expect("enough samples"));
+    assert_eq!(started.model(), known.model());
     USUAL.learn(&mut started, 200, CALM, &mut random);
-    let own = off(&started.pace(), USUAL);
+    let own = off(&started.model(), USUAL);
     assert!((0.85..1.15).contains(&own), "{own} times by its own samples");
 }
 
 // Times that are none, as when a clock stands still, must not end the process or spoil what is known.
 #[test]
 fn no_time() {
-    let mut speed = EngineSpeed::default();
+    let mut speed = EngineLatencyEstimator::default();
     for _ in 0..100 {
-        speed.note_first_token(FirstTokenSample { to_read: 0, took: Duration::ZERO });
+        speed.note_first_token(FirstTokenSample { prefill_tokens: 0, took: Duration::ZERO });
         let stream =
             StreamSample { running: 0, gap: Duration::ZERO, events: 0, expected_tokens: 0 };
         speed.note_stream(stream);
     }
-    let pace = speed.pace();
-    assert!(pace.read_ms(1_000.0).is_finite() && pace.answer_work_ms(100.0, 32.0).is_finite());
+    let pace = speed.model();
+    assert!(pace.prefill_ms(1_000.0).is_finite() && pace.decode_work_ms(100.0, 32.0).is_finite());
 }
--- a/crates/policy/tests/fair_queueing.rs
+++ b/crates/policy/tests/fair_queueing.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bulrushhall_core::{Stamp, TeamName};
-use bulrushhall_policy::{Admission, AdmissionOptions, Decision, Ticket, Wait};
+use bulrushhall_policy::{Admission, AdmissionOptions, AdmissionRequest, Decision, Ticket};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -12,8 +12,8 @@
     TeamName::new(name).expect("a valid name")
 }
 
-fn wait(name: &str, priority: u8, tokens: u32) -> Wait {
-    Wait {
+fn wait(name: &str, priority: u8, tokens: u32) -> AdmissionRequest {
+    AdmissionRequest {
         team: team(name),
         priority,
         tokens,
@@ -148,7 +148,7 @@
         let (ticket, _) = admission.arrive(Stamp(0), wait("floor", 5, 1_000), &mut random);
         teams.insert(ticket, "new");
     }
-    let resumed = Wait { accepted: true, ..wait("floor", 5, 1_000) };
+    let resumed = AdmissionRequest { accepted: true, ..wait("floor", 5, 1_000) };
     let (ticket, decisions) = admission.arrive(Stamp(0), resumed, &mut random);
     assert_eq!(decisions, [Decision::Accept(ticket)]);
     teams.insert(ticket, "resumed");
--- a/crates/policy/tests/fleet_counts.rs
+++ b/crates/policy/tests/fleet_counts.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_core::{Stamp, ZoneName};
 use bulrushhall_policy::fleet_counts::{
-    CountLimits, CountMarket, CountOrder, CountPlanner, Seen, Staffing,
+    CountLimits, CountMarket, CountOrder, CountPlanner, SizingRule, ZoneServers,
 };
 
 const START: u64 = 4_000;
@@ -16,8 +16,8 @@
 
 fn limits() -> CountLimits {
     CountLimits {
-        least: 1,
-        most: 6,
+        min: 1,
+        max: 6,
         start: Duration::from_millis(START),
         reclaimable_price: Some(0.15),
         zones: zones().into_iter().zip([1.0, 0.8, 1.25, 0.9]).collect(),
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct World {
     planner: CountPlanner,
-    seen: BTreeMap<ZoneName, Seen>,
+    seen: BTreeMap<ZoneName, ZoneServers>,
     starting: Vec<(u64, CountOrder)>,
     sold_out_until: u64,
     now: u64,
@@ -37,7 +37,7 @@
 
 impl World {
     fn with_on_demand(each: u32) -> World {
-        let of_zone = Seen { on_demand: each, ..Seen::default() };
+        let of_zone = ZoneServers { on_demand: each, ..ZoneServers::default() };
         let seen = zones().into_iter().map(|zone| (zone, of_zone));
         World { seen: seen.collect(), ..World::default() }
     }
@@ -70,7 +70,7 @@
     }
 
     fn total(&self, market: CountMarket) -> u32 {
-        let of = |seen: &Seen| match market {
+        let of = |seen: &ZoneServers| match market {
             CountMarket::Reclaimable => seen.reclaimable,
             CountMarket::OnDemand => seen.on_demand,
         };
@@ -85,7 +85,7 @@
     let mut world = World::default();
     for zone in zones() {
         world.run(600, 0.0);
-        world.seen.insert(zone, Seen { on_demand: 3, ..Seen::default() });
+        world.seen.insert(zone, ZoneServers { on_demand: 3, ..ZoneServers::default() });
     }
     world.run(30_000, 0.0);
     assert!(12 <= world.total(CountMarket::Reclaimable));
@@ -99,7 +99,7 @@
     let mut world = World::with_on_demand(3);
     // Nine engines for a demand of five, so that what is missing can be counted.
     let staffing =
-        Staffing { used_most: 0.56, spread: 0.0, kept_starts: 4.0, ..Staffing::default() };
+        SizingRule { used_most: 0.56, spread: 0.0, kept_starts: 4.0, ..SizingRule::default() };
     world.planner = CountPlanner::new(staffing);
     world.run(30_000, 5.0);
     let before = world.total(CountMarket::Reclaimable);
@@ -151,7 +151,7 @@
     }
 }
 
-fn only(of_zone: Seen) -> BTreeMap<ZoneName, Seen> {
+fn only(of_zone: ZoneServers) -> BTreeMap<ZoneName, ZoneServers> {
     zones().into_iter().map(|zone| (zone, of_zone)).collect()
 }
 
@@ -168,7 +168,7 @@
     world.run(30_000, 4.0);
     let first = world.total(CountMarket::Reclaimable);
     for _ in 0..4 {
-        world.planner = CountPlanner::new(Staffing::default());
+        world.planner = CountPlanner::new(SizingRule::default());
         world.run(5_000, 4.0);
     }
     assert!(world.total(CountMarket::Reclaimable) <= first + 1);
@@ -179,11 +179,11 @@
 // demand of that moment gave engines back, and callers of the next burst waited for a start.
 #[test]
 fn known_peak() {
-    let staffing = Staffing { used_most: 0.95, kept_starts: 4.0, ..Staffing::default() };
+    let staffing = SizingRule { used_most: 0.95, kept_starts: 4.0, ..SizingRule::default() };
     let mut planner = CountPlanner::new(staffing);
-    let mut seen = only(Seen { reclaimable: 4, ..Seen::default() });
+    let mut seen = only(ZoneServers { reclaimable: 4, ..ZoneServers::default() });
     // What a demand of nine needs, with the dearest zone one short of the others.
-    seen.insert(zones().remove(2), Seen { reclaimable: 3, ..Seen::default() });
+    seen.insert(zones().remove(2), ZoneServers { reclaimable: 3, ..ZoneServers::default() });
     for second in 0..40 {
         let busy = if second < 30 { 9.0 } else { 2.0 };
         planner.observe(Stamp::from_millis(second * 1_000), &limits(), busy, &seen);
@@ -196,12 +196,12 @@
 // can't be bought again, and on-demand ones at several times the price take their place.
 #[test]
 fn nothing_given_back() {
-    let mut planner = CountPlanner::new(Staffing::default());
-    let mut seen = only(Seen { reclaimable: 5, ..Seen::default() });
+    let mut planner = CountPlanner::new(SizingRule::default());
+    let mut seen = only(ZoneServers { reclaimable: 5, ..ZoneServers::default() });
     for second in 0..40 {
         planner.observe(Stamp::from_millis(second * 1_000), &limits(), 2.0, &seen);
     }
-    let taken = Seen { leaving: 5, ..Seen::default() };
+    let taken = ZoneServers { leaving: 5, ..ZoneServers::default() };
     seen.insert(zones().remove(0), taken);
     let orders = planner.plan(Stamp::from_millis(40_000), &limits(), 2.0, &seen);
     let lowered = orders.iter().find(|order| order.zone != zones()[0]);
@@ -212,8 +212,8 @@
 // believed that they were coming, ordered nothing else, and four engines were left for the work of ten.
 #[test]
 fn leaving_counted() {
-    let mut planner = CountPlanner::new(Staffing::default());
-    let seen = only(Seen { leaving: 4, ..Seen::default() });
+    let mut planner = CountPlanner::new(SizingRule::default());
+    let seen = only(ZoneServers { leaving: 4, ..ZoneServers::default() });
     let mut on_demand = 0;
     for step in 0..10 {
         let orders = planner.plan(Stamp::from_millis(40_000 + step * STEP), &limits(), 6.0, &seen);
--- a/crates/policy/tests/idle/mod.rs
+++ b/crates/policy/tests/idle/mod.rs
@@ -16,8 +16,8 @@
         held_tokens: 0,
         cached: 0,
         slowness: 1.0,
-        distance: Duration::ZERO,
-        failing: 0.0,
-        avoided: false,
+        network_latency: Duration::ZERO,
+        failure_rate: 0.0,
+        circuit_open: false,
     }
 }
--- a/crates/policy/tests/overload_control.rs
+++ b/crates/policy/tests/overload_control.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use bulrushhall_core::{Stamp, TeamName};
-use bulrushhall_policy::{Admission, AdmissionOptions, Decision, Ticket, Wait};
+use bulrushhall_policy::{Admission, AdmissionOptions, AdmissionRequest, Decision, Ticket};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -69,7 +69,7 @@
     }
 
     fn arrive(&mut self) {
-        let wait = Wait {
+        let wait = AdmissionRequest {
             team: TeamName::new("floor").expect("a valid name"),
             priority: 0,
             tokens: 100,
@@ -141,7 +141,7 @@
     let mut starts = Vec::new();
     let mut surveys = Vec::new();
     for _ in 0..5 {
-        let wait = Wait {
+        let wait = AdmissionRequest {
             team: TeamName::new("archive").expect("a valid name"),
             priority: 5,
             tokens: 100,
@@ -176,7 +176,7 @@
     admission.set_capacity(Stamp(0), 1);
     let mut times = Vec::new();
     for _ in 0..100 {
-        let wait = Wait {
+        let wait = AdmissionRequest {
             team: TeamName::new("floor").expect("a valid name"),
             priority: 0,
             tokens: 100,
@@ -203,7 +203,7 @@
     let mut admission = Admission::new(AdmissionOptions::default());
     let team = TeamName::new("archive").expect("a valid name");
     for deadline in [1_000, 9_000] {
-        let wait = Wait {
+        let wait = AdmissionRequest {
             team: team.clone(),
             priority: 5,
             tokens: 10,
--- a/crates/policy/tests/placement_choice.rs
+++ b/crates/policy/tests/placement_choice.rs
@@ -6,7 +6,7 @@
 use bulrushhall_policy::{
     LoadReport, Placement, PlacementOptions, PlacementRegistry, PlacementRequest, WorkerKey,
     WorkerView,
-    placement::{Predicted, Stage, WorkerRole, subset},
+    placement::{PredictedLatency, Stage, WorkerRole, subset},
     prefix::block_hashes,
 };
 use rand::SeedableRng;
@@ -91,7 +91,7 @@
 
 #[test]
 fn held_prefix_is_found() {
-    let mut placement = Predicted::new(PlacementOptions::default());
+    let mut placement = PredictedLatency::new(PlacementOptions::default());
     let workers = engines(8);
     let req = prompt("conversation", 480);
     for &block in &req.prefix {
@@ -104,7 +104,7 @@
 // still be found, or each gap costs the prompt anew.
 #[test]
 fn gaps_do_no_harm() {
-    let mut placement = Predicted::new(PlacementOptions::default());
+    let mut placement = PredictedLatency::new(PlacementOptions::default());
     let workers = engines(8);
     let req = prompt("conversation", 480);
     for (at, &block) in req.prefix.iter().enumerate() {
@@ -119,7 +119,7 @@
 // first tokens wait there while the others idle.
 #[test]
 fn full_holder_is_left() {
-    let mut placement = Predicted::new(PlacementOptions::default());
+    let mut placement = PredictedLatency::new(PlacementOptions::default());
     let mut workers = engines(8);
     let req = prompt("shared", 480);
     for &block in &req.prefix {
@@ -134,7 +134,7 @@
 // until the next report.
 #[test]
 fn equals_share_the_work() {
-    let mut placement = Predicted::new(PlacementOptions::default());
+    let mut placement = PredictedLatency::new(PlacementOptions::default());
     let workers = engines(8);
     let counts = choices(&mut placement, &workers, &PlacementRequest::default());
     assert!(4 <= counts.len(), "{counts:?}");
@@ -150,7 +150,7 @@
         let req = prompt(conversation, 320);
         let mut homes = Vec::new();
         for seed in 0..5 {
-            let mut placement = Predicted::new(PlacementOptions::default());
+            let mut placement = PredictedLatency::new(PlacementOptions::default());
             let mut random = Pcg64Mcg::seed_from_u64(seed);
             homes.push(placement.place(Stamp(0), &req, &workers, &mut random));
         }
@@ -171,7 +171,7 @@
     workers[0].role = role;
     let req = PlacementRequest { stage, ..prompt("a", 64) };
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    let placed = Predicted::default().place(Stamp(0), &req, &workers, &mut random);
+    let placed = PredictedLatency::default().place(Stamp(0), &req, &workers, &mut random);
     assert_eq!(placed.is_some(), fits);
 }
 
--- a/crates/policy/tests/quota_many.rs
+++ b/crates/policy/tests/quota_many.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bulrushhall_core::{Incarnation, Stamp};
-use bulrushhall_policy::quota::{Quota, QuotaLimit, QuotaPlan, QuotaSlack, QuotaTold};
+use bulrushhall_policy::quota::{Quota, QuotaLimit, QuotaPlan, QuotaReport, QuotaSlack};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -27,7 +27,7 @@
     let mut random = Pcg64::seed_from_u64(seed);
     let mut quotas = vec![Quota::default(); nodes];
     let phases: Vec<u64> = (0..nodes).map(|_| random.random_range(0..EXCHANGE / STEP)).collect();
-    let mut under_way: Vec<(u64, usize, usize, QuotaTold)> = Vec::new();
+    let mut under_way: Vec<(u64, usize, usize, QuotaReport)> = Vec::new();
     let mut played = Played { taken: Vec::new(), asked: 0.0 };
     let mean = 14_000.0;
     for step in 0..SECONDS * 1_000 / STEP {
@@ -39,13 +39,13 @@
             }
             for at in (0..nodes).filter(|at| *at != from) {
                 let late = random.random_range(5..LATE);
-                under_way.push((millis + late, at, from, quotas[from].told(now)));
+                under_way.push((millis + late, at, from, quotas[from].report(now)));
             }
         }
         under_way.retain(|(due, at, from, told)| {
             let due = *due <= millis;
             if due {
-                quotas[*at].hear(now, Incarnation(*from as u64), *told);
+                quotas[*at].receive(now, Incarnation(*from as u64), *told);
             }
             !due
         });
--- a/crates/policy/tests/quota_relayed.rs
+++ b/crates/policy/tests/quota_relayed.rs
@@ -23,10 +23,10 @@
 fn own_left_out() {
     let (mut relay, mut member, mut far) = (Quota::default(), Quota::default(), Quota::default());
     let exchange = |millis: u64, relay: &mut Quota, member: &mut Quota, far: &mut Quota| {
-        relay.hear(at(millis), MEMBER, member.told(at(millis)));
-        relay.hear_sum(at(millis), FAR, far.told_of_zone(at(millis)), 2);
-        member.hear_sum(at(millis), RELAY, relay.told_of_others(at(millis), MEMBER), 3);
-        far.hear_sum(at(millis), RELAY, relay.told_of_zone(at(millis)), 2);
+        relay.receive(at(millis), MEMBER, member.report(at(millis)));
+        relay.receive_sum(at(millis), FAR, far.zone_report(at(millis)), 2);
+        member.receive_sum(at(millis), RELAY, relay.report_excluding(at(millis), MEMBER), 3);
+        far.receive_sum(at(millis), RELAY, relay.zone_report(at(millis)), 2);
     };
     assert!(take(&mut relay, 1, 1.0) && take(&mut member, 1, 1.0) && take(&mut far, 1, 1.0));
     exchange(10, &mut relay, &mut member, &mut far);
@@ -48,8 +48,8 @@
     let (mut relay, mut member) = (Quota::default(), Quota::default());
     for step in 0..40 {
         let now = at(step * 100);
-        member.hear_sum(now, RELAY, relay.told_of_others(now, MEMBER), 3);
-        relay.hear(now, MEMBER, member.told(now));
+        member.receive_sum(now, RELAY, relay.report_excluding(now, MEMBER), 3);
+        relay.receive(now, MEMBER, member.report(now));
         assert!(take(&mut member, step * 100, 9.0));
         let _ = take(&mut relay, step * 100, 0.5);
     }
--- a/crates/policy/tests/quota_share.rs
+++ b/crates/policy/tests/quota_share.rs
@@ -23,8 +23,8 @@
             for at in 0..NODES {
                 for from in 0..NODES {
                     if at != from && hear(at, from) {
-                        let told = nodes[from].told(now);
-                        nodes[at].hear(now, Incarnation(from as u64), told);
+                        let told = nodes[from].report(now);
+                        nodes[at].receive(now, Incarnation(from as u64), told);
                     }
                 }
             }
@@ -77,7 +77,7 @@
 fn given_back() {
     let mut quota = Quota::default();
     assert!(quota.take(Stamp(0), LIMIT, 1, 1_000.0).is_ok());
-    quota.give_back(1_000.0);
+    quota.refund(1_000.0);
     assert!(quota.take(Stamp(0), LIMIT, 1, 900.0).is_ok());
     assert_eq!(quota.own(), 900.0);
 }
@@ -95,7 +95,7 @@
 #[test]
 fn restart_of_all() {
     let start = Stamp::from_millis(1_000);
-    let mut nodes = vec![Quota::drained(start); NODES];
+    let mut nodes = vec![Quota::empty(start); NODES];
     let mut total = 0.0;
     for millis in (1_000..2_000).step_by(10) {
         for node in &mut nodes {
@@ -129,14 +129,14 @@
                 for pair in 0..25 {
                     let (at, from) = (pair / 5, pair % 5);
                     if at != from {
-                        let (life, told) = (Incarnation(lives[from]), nodes[from].told(now));
-                        nodes[at].hear(now, life, told);
+                        let (life, told) = (Incarnation(lives[from]), nodes[from].report(now));
+                        nodes[at].receive(now, life, told);
                     }
                 }
             }
             if random.random_bool(0.001) {
                 let at = random.random_range(0..5);
-                nodes[at] = Quota::drained(now);
+                nodes[at] = Quota::empty(now);
                 lives[at] += 5;
             }
             if random.random_bool(asked) {
--- a/crates/policy/tests/recent_parts.rs
+++ b/crates/policy/tests/recent_parts.rs
@@ -7,8 +7,8 @@
 use bulrushhall_core::Stamp;
 use bulrushhall_policy::{
     engine_choice::{EngineRequest, EngineView, choose_engine},
-    observed::EnginePace,
-    parts::{PartMemory, PromptPart},
+    observed::EngineLatencyModel,
+    parts::{CachedParts, PromptPart},
     placement::WorkerKey,
     recent_parts::RecentParts,
 };
@@ -40,7 +40,7 @@
     let mut recent = RecentParts::default();
     recent.note(second(1), &[part(2), part(1)]);
     recent.note(second(1), &[part(1), part(3)]);
-    let mut told = recent.told(second(1), TOLD_FOR);
+    let mut told = recent.updates(second(1), TOLD_FOR);
     told.sort_by_key(|part| part.id);
     assert_eq!(told, [part(1), part(2), part(3)]);
 }
@@ -50,8 +50,8 @@
     let mut recent = RecentParts::default();
     recent.note(second(1), &[part(1)]);
     recent.note(second(2), &[part(2)]);
-    assert_eq!(recent.told(second(2), TOLD_FOR), [part(2)]);
-    assert_eq!(recent.told(second(3), TOLD_FOR), []);
+    assert_eq!(recent.updates(second(2), TOLD_FOR), [part(2)]);
+    assert_eq!(recent.updates(second(3), TOLD_FOR), []);
 }
 
 // Guards against messages that grow with every send of a part that others know already, and against others
@@ -61,9 +61,9 @@
     let mut recent = RecentParts::default();
     recent.note(second(1), &[part(1)]);
     recent.note(second(2), &[part(1)]);
-    assert_eq!(recent.told(second(2), TOLD_FOR), []);
+    assert_eq!(recent.updates(second(2), TOLD_FOR), []);
     recent.note(second(3), &[part(1)]);
-    assert_eq!(recent.told(second(3), TOLD_FOR), [part(1)]);
+    assert_eq!(recent.updates(second(3), TOLD_FOR), [part(1)]);
 }
 
 // Thirty nodes send prompts about the same five hundred things to sixty engines, as evenly as callers
@@ -81,8 +81,8 @@
     let mut random = Pcg64::seed_from_u64(3);
     let mut keys: SlotMap<WorkerKey, ()> = SlotMap::with_key();
     let engines: Vec<WorkerKey> = (0..ENGINES).map(|_| keys.insert(())).collect();
-    let mut really = vec![PartMemory::default(); engines.len()];
-    let mut believed = vec![vec![PartMemory::default(); engines.len()]; NODES];
+    let mut really = vec![CachedParts::default(); engines.len()];
+    let mut believed = vec![vec![CachedParts::default(); engines.len()]; NODES];
     let mut waiting = vec![0_u64; engines.len()];
     let mut seen = vec![false; THINGS as usize];
     let mut again = 0;
@@ -102,17 +102,17 @@
             .collect();
         let req = EngineRequest {
             parts: &parts,
-            prompt: SHARED_TOKENS + OWN_TOKENS,
-            answer: 120,
-            kept: 0,
+            prompt_tokens: SHARED_TOKENS + OWN_TOKENS,
+            answer_tokens: 120,
+            cached_elsewhere: 0,
             copied_per_ms: 0.0,
-            pace: EnginePace::default(),
+            model: EngineLatencyModel::default(),
             unseen_tokens: 0.0,
         };
         let chosen = choose_engine(req, &views, &mut random).expect("an engine");
         let at = engines.iter().position(|key| *key == chosen.key).expect("known");
         let kept = really[at].cached(&parts);
-        waiting[at] += u64::from(req.prompt - kept);
+        waiting[at] += u64::from(req.prompt_tokens - kept);
         if seen[thing as usize] && kept == 0 {
             again += u64::from(SHARED_TOKENS);
         }
--- a/crates/policy/tests/repeat_share.rs
+++ b/crates/policy/tests/repeat_share.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 use bulrushhall_core::Stamp;
-use bulrushhall_policy::repeat_share::{RepeatLimit, RepeatShare};
+use bulrushhall_policy::windowed_retry_budget::{RetryLimit, WindowedRetryBudget};
 
-const LIMIT: RepeatLimit =
-    RepeatLimit { ratio: 0.2, headroom: 50.0, window: Duration::from_secs(10) };
+const LIMIT: RetryLimit =
+    RetryLimit { ratio: 0.2, headroom: 50.0, window: Duration::from_secs(10) };
 const NODES: usize = 5;
 
 // A service fails each call, and each call would be repeated. In any window the repeats of all nodes
 // must keep to the ratio and the headroom; a service that is down would otherwise get twice the load.
 #[test]
 fn failing_service() {
-    let mut nodes = vec![RepeatShare::default(); NODES];
+    let mut nodes = vec![WindowedRetryBudget::default(); NODES];
     let mut repeats: Vec<u64> = Vec::new();
     let mut firsts: Vec<u64> = Vec::new();
     for millis in (0..60_000).step_by(20) {
@@ -36,7 +36,7 @@
 
 #[test]
 fn idle_service() {
-    let mut share = RepeatShare::default();
+    let mut share = WindowedRetryBudget::default();
     let now = Stamp::from_millis(1);
     let free = (0..20).filter(|_| share.take(now, LIMIT, NODES)).count();
     assert_eq!(free, 8);
@@ -47,7 +47,7 @@
 // the same, or the node's memory grows with every request.
 #[test]
 fn healthy_service() {
-    let mut share = RepeatShare::default();
+    let mut share = WindowedRetryBudget::default();
     for millis in (0..100_000).step_by(10) {
         share.note_first(Stamp::from_millis(millis), LIMIT);
     }
--- a/crates/policy/tests/stale_loads.rs
+++ b/crates/policy/tests/stale_loads.rs
@@ -6,7 +6,7 @@
 
 use bulrushhall_policy::{
     engine_choice::{EngineRequest, EngineView, choose_engine},
-    observed::EnginePace,
+    observed::EngineLatencyModel,
     placement::WorkerKey,
 };
 use rand::{RngExt, SeedableRng};
@@ -60,15 +60,15 @@
             }
             let views: Vec<EngineView> =
                 (0..ENGINES).map(|at| view(engines[at], at, seen[at])).collect();
-            let mut pace = EnginePace { samples: 100, ..EnginePace::default() };
+            let mut pace = EngineLatencyModel { samples: 100, ..EngineLatencyModel::default() };
             pace.first.slope = 1.0 / READ_PER_MS;
             let req = EngineRequest {
                 parts: &[],
-                prompt: tokens as u32,
-                answer: 100,
-                kept: 0,
+                prompt_tokens: tokens as u32,
+                answer_tokens: 100,
+                cached_elsewhere: 0,
                 copied_per_ms: 0.0,
-                pace,
+                model: pace,
                 unseen_tokens: unseen,
             };
             let chosen = choose_engine(req, &views, &mut random).expect("an engine");
--- a/crates/policy/tests/team_limits.rs
+++ b/crates/policy/tests/team_limits.rs
@@ -6,7 +6,7 @@
     Stamp, TeamName,
     config::{Rate, TeamConfig},
 };
-use bulrushhall_policy::team_limits::{Gate, Limited, TeamLimit};
+use bulrushhall_policy::team_limits::{LimitExceeded, TeamLimit, TeamLimiter};
 use rstest::rstest;
 
 fn team(name: &str) -> TeamName {
@@ -19,10 +19,10 @@
 
 #[test]
 fn no_limits() {
-    let mut gate = Gate::default();
+    let mut gate = TeamLimiter::default();
     let limits = TeamConfig::default();
     for _ in 0..10_000 {
-        assert_eq!(gate.enter(Stamp(0), &team("workshop"), &limits, 5, 4_096), Ok(()));
+        assert_eq!(gate.admit(Stamp(0), &team("workshop"), &limits, 5, 4_096), Ok(()));
     }
     assert_eq!(gate.at_once(&team("workshop")), 10_000);
 }
@@ -38,14 +38,14 @@
     let (flooding, other) = (team("archive"), team("workshop"));
     let mut accepted = 0;
     for _ in 0..nodes {
-        let mut gate = Gate::default();
+        let mut gate = TeamLimiter::default();
         let mut now = Stamp(0);
         while now < Stamp::from_millis(3_600_000) {
-            if gate.enter(now, &flooding, &limits, nodes, 10).is_ok() {
+            if gate.admit(now, &flooding, &limits, nodes, 10).is_ok() {
                 accepted += 1;
-                gate.leave(&flooding);
+                gate.release(&flooding);
             }
-            assert_eq!(gate.enter(now, &other, &TeamConfig::default(), nodes, 10), Ok(()));
+            assert_eq!(gate.admit(now, &other, &TeamConfig::default(), nodes, 10), Ok(()));
             now = now + Duration::from_millis(20 * nodes as u64);
         }
     }
@@ -57,19 +57,19 @@
 
 #[test]
 fn retry_time_holds() {
-    let (mut gate, limits, team) = (Gate::default(), requests(60), team("archive"));
+    let (mut gate, limits, team) = (TeamLimiter::default(), requests(60), team("archive"));
     let mut now = Stamp::from_millis(5);
     let limited = loop {
-        match gate.enter(now, &team, &limits, 1, 10) {
+        match gate.admit(now, &team, &limits, 1, 10) {
             Ok(()) => {}
             Err(limited) => break limited,
         }
     };
     assert_eq!(limited.limit, TeamLimit::Requests);
-    let early = now + limited.after / 2;
-    now = now + limited.after + Duration::from_millis(1);
-    assert!(gate.enter(now, &team, &limits, 1, 10).is_ok(), "{limited:?}");
-    assert!(limited.after <= Duration::from_secs(2), "{limited:?}");
+    let early = now + limited.retry_after / 2;
+    now = now + limited.retry_after + Duration::from_millis(1);
+    assert!(gate.admit(now, &team, &limits, 1, 10).is_ok(), "{limited:?}");
+    assert!(limited.retry_after <= Duration::from_secs(2), "{limited:?}");
     assert!(early < now);
 }
 
@@ -78,47 +78,50 @@
 #[test]
 fn larger_than_bucket() {
     let limits = TeamConfig { tokens: Some(Rate { per_minute: 600 }), ..TeamConfig::default() };
-    let (mut gate, team) = (Gate::default(), team("archive"));
-    assert_eq!(gate.enter(Stamp(0), &team, &limits, 1, 5_000), Ok(()));
-    let refused = gate.enter(Stamp::from_millis(1_000), &team, &limits, 1, 1);
-    assert!(matches!(refused, Err(Limited { limit: TeamLimit::Tokens, .. })), "{refused:?}");
+    let (mut gate, team) = (TeamLimiter::default(), team("archive"));
+    assert_eq!(gate.admit(Stamp(0), &team, &limits, 1, 5_000), Ok(()));
+    let refused = gate.admit(Stamp::from_millis(1_000), &team, &limits, 1, 1);
+    assert!(matches!(refused, Err(LimitExceeded { limit: TeamLimit::Tokens, .. })), "{refused:?}");
     // 100 were there, 4,900 are owed, 10 come in a second.
-    let late = gate.enter(Stamp::from_millis(489_000), &team, &limits, 1, 1);
+    let late = gate.admit(Stamp::from_millis(489_000), &team, &limits, 1, 1);
     assert!(late.is_err(), "{late:?}");
-    assert_eq!(gate.enter(Stamp::from_millis(491_000), &team, &limits, 1, 1), Ok(()));
+    assert_eq!(gate.admit(Stamp::from_millis(491_000), &team, &limits, 1, 1), Ok(()));
 }
 
 #[test]
 fn at_once() {
     let limits = TeamConfig { at_once: Some(7), ..TeamConfig::default() };
-    let (mut gate, team) = (Gate::default(), team("archive"));
+    let (mut gate, team) = (TeamLimiter::default(), team("archive"));
     // Two of five nodes' parts: 7 over 5 nodes is 2 for each, rounded up.
     for _ in 0..2 {
-        assert_eq!(gate.enter(Stamp(0), &team, &limits, 5, 1), Ok(()));
+        assert_eq!(gate.admit(Stamp(0), &team, &limits, 5, 1), Ok(()));
     }
-    let refused = gate.enter(Stamp(0), &team, &limits, 5, 1);
-    assert!(matches!(refused, Err(Limited { limit: TeamLimit::AtOnce, .. })), "{refused:?}");
-    gate.leave(&team);
-    assert_eq!(gate.enter(Stamp(0), &team, &limits, 5, 1), Ok(()));
+    let refused = gate.admit(Stamp(0), &team, &limits, 5, 1);
+    assert!(
+        matches!(refused, Err(LimitExceeded { limit: TeamLimit::Concurrency, .. })),
+        "{refused:?}"
+    );
+    gate.release(&team);
+    assert_eq!(gate.admit(Stamp(0), &team, &limits, 5, 1), Ok(()));
 }
 
 // The queue refuses what the limits let through. Were the refused requests counted, a team would
 // be refused for its limits after an overload in which nothing of it had run.
 #[test]
 fn withdrawn() {
-    let (mut gate, limits, team) = (Gate::default(), requests(6), team("archive"));
+    let (mut gate, limits, team) = (TeamLimiter::default(), requests(6), team("archive"));
     for _ in 0..1_000 {
-        assert_eq!(gate.enter(Stamp(0), &team, &limits, 1, 10), Ok(()));
-        gate.withdraw(&team, 10);
+        assert_eq!(gate.admit(Stamp(0), &team, &limits, 1, 10), Ok(()));
+        gate.refund(&team, 10);
     }
     assert_eq!(gate.at_once(&team), 0);
 }
 
 #[test]
 fn changed_limits() {
-    let (mut gate, team) = (Gate::default(), team("archive"));
-    while gate.enter(Stamp(0), &team, &requests(60), 1, 1).is_ok() {}
-    assert_eq!(gate.enter(Stamp(0), &team, &TeamConfig::default(), 1, 1), Ok(()));
-    assert_eq!(gate.enter(Stamp(0), &team, &requests(60), 1, 1), Ok(()));
-    assert!(gate.enter(Stamp(0), &team, &requests(0), 1, 1).is_err());
+    let (mut gate, team) = (TeamLimiter::default(), team("archive"));
+    while gate.admit(Stamp(0), &team, &requests(60), 1, 1).is_ok() {}
+    assert_eq!(gate.admit(Stamp(0), &team, &TeamConfig::default(), 1, 1), Ok(()));
+    assert_eq!(gate.admit(Stamp(0), &team, &requests(60), 1, 1), Ok(()));
+    assert!(gate.admit(Stamp(0), &team, &requests(0), 1, 1).is_err());
 }
