--- a/crates/policy/src/admission/fair_queue.rs
+++ b/crates/policy/src/admission/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Start-time fair queueing over teams, in tokens.
+//! Start-time fair queueing between teams, measured in tokens.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,11 +6,12 @@
 
 use crate::admission::{AdmissionRequest, Ticket};
 
-/// A `FairQueue` shares the service of one priority over the teams that have requests waiting.
+/// A `FairQueue` divides the service of one priority among the teams with waiting requests.
 ///
-/// Each team has a virtual time that grows with the tokens started for it, divided by its share.
-/// The team that is furthest behind goes next. A team that had nothing waiting starts from the
-/// present virtual time, so that it can't save up service and then shut the others out.
+/// The virtual time of a team advances by the tokens of each request that it starts, divided by its
+/// share. The team with the lowest virtual time goes next. A team that had no waiting requests
+/// continues from the current virtual time, so that it can't accumulate service while idle and then
+/// starve the others.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
     virtual_time: f64,
@@ -23,84 +24,85 @@
 struct TeamQueue {
     virtual_time: f64,
     tokens: u64,
-    entries: VecDeque<(Ticket, AdmissionRequest)>,
+    requests: VecDeque<(Ticket, AdmissionRequest)>,
 }
 
 impl FairQueue {
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Returns the tokens that wait.
+    /// Returns the tokens of the waiting requests.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Puts a request at the end of its team's queue, or at its front if it ran before.
-    pub fn push(&mut self, ticket: Ticket, wait: AdmissionRequest) {
-        let now = self.virtual_time;
-        let team = self.teams.entry(wait.team.clone()).or_default();
-        if team.entries.is_empty() {
-            team.virtual_time = team.virtual_time.max(now);
+    /// Adds a request at the end of its team's queue, or at the front if it was accepted before.
+    pub fn push(&mut self, ticket: Ticket, req: AdmissionRequest) {
+        let current = self.virtual_time;
+        let team = self.teams.entry(req.team.clone()).or_default();
+        if team.requests.is_empty() {
+            team.virtual_time = team.virtual_time.max(current);
         }
         self.len += 1;
-        self.tokens += u64::from(wait.tokens);
-        team.tokens += u64::from(wait.tokens);
-        if wait.accepted {
-            team.entries.push_front((ticket, wait));
+        self.tokens += u64::from(req.tokens);
+        team.tokens += u64::from(req.tokens);
+        if req.accepted {
+            team.requests.push_front((ticket, req));
         } else {
-            team.entries.push_back((ticket, wait));
+            team.requests.push_back((ticket, req));
         }
     }
 
-    /// Takes out the request that goes next.
+    /// Removes and returns the request that goes next.
     pub fn pop(&mut self, shares: &BTreeMap<TeamName, u32>) -> Option<(Ticket, AdmissionRequest)> {
-        let waiting = self.teams.iter_mut().filter(|(_, team)| !team.entries.is_empty());
+        let waiting = self.teams.iter_mut().filter(|(_, team)| !team.requests.is_empty());
         let (name, team) = waiting
             .min_by(|(_, one), (_, other)| one.virtual_time.total_cmp(&other.virtual_time))?;
-        let (ticket, wait) = team.entries.pop_front()?;
+        let (ticket, req) = team.requests.pop_front()?;
         self.virtual_time = self.virtual_time.max(team.virtual_time);
-        // A resumed request was charged when it first started.
-        if !wait.accepted {
-            team.virtual_time += f64::from(wait.tokens) / share(shares, name);
+        // A resumed request was already charged when it first started.
+        if !req.accepted {
+            team.virtual_time += f64::from(req.tokens) / share(shares, name);
         }
-        team.tokens -= u64::from(wait.tokens);
-        self.tokens -= u64::from(wait.tokens);
+        team.tokens -= u64::from(req.tokens);
+        self.tokens -= u64::from(req.tokens);
         self.len -= 1;
-        Some((ticket, wait))
+        Some((ticket, req))
     }
 
-    /// Takes out every request that `is_wanted` names, in the order of teams and waiting.
+    /// Removes and returns the requests that match `is_match`, ordered by team and then by
+    /// position.
     pub fn extract(
         &mut self,
-        mut is_wanted: impl FnMut(Ticket, &AdmissionRequest) -> bool,
+        mut is_match: impl FnMut(Ticket, &AdmissionRequest) -> bool,
     ) -> Vec<(Ticket, AdmissionRequest)> {
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         for team in self.teams.values_mut() {
-            if !team.entries.iter().any(|(ticket, wait)| is_wanted(*ticket, wait)) {
+            if !team.requests.iter().any(|(ticket, req)| is_match(*ticket, req)) {
                 continue;
             }
-            for (ticket, wait) in std::mem::take(&mut team.entries) {
-                if !is_wanted(ticket, &wait) {
-                    team.entries.push_back((ticket, wait));
+            for (ticket, req) in std::mem::take(&mut team.requests) {
+                if !is_match(ticket, &req) {
+                    team.requests.push_back((ticket, req));
                     continue;
                 }
-                team.tokens -= u64::from(wait.tokens);
-                self.tokens -= u64::from(wait.tokens);
+                team.tokens -= u64::from(req.tokens);
+                self.tokens -= u64::from(req.tokens);
                 self.len -= 1;
-                taken.push((ticket, wait));
+                removed.push((ticket, req));
             }
         }
-        taken
+        removed
     }
 
-    /// Returns the tokens that would be started before the end of a new request of `team`.
+    /// Returns the tokens that would start before a new request of `team` completes its service.
     pub fn tokens_before(
         &self,
         team: &TeamName,
@@ -113,7 +115,7 @@
         let end = own_time + (own_tokens + f64::from(tokens)) / share(shares, team);
         let mut before = own_tokens;
         for (name, other) in &self.teams {
-            if name == team || other.entries.is_empty() {
+            if name == team || other.requests.is_empty() {
                 continue;
             }
             let lead = (end - other.virtual_time).max(0.0) * share(shares, name);
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission and queueing of model requests.
+//! Admission control and queueing of model requests.
 
 mod fair_queue;
 mod machine;
--- a/crates/policy/src/admission/request.rs
+++ b/crates/policy/src/admission/request.rs
@@ -1,39 +1,39 @@
-//! What goes into an admission queue and what it decides.
+//! The requests and decisions of an admission queue.
 
 use std::time::Duration;
 
 use bulrushhall_core::{Stamp, TeamName};
 
-/// A `Ticket` names one waiting or running request inside an admission queue.
+/// A `Ticket` identifies a waiting or running request within an admission queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A `AdmissionRequest` describes a request that asks to be run.
+/// An `AdmissionRequest` is a request for admission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// The team that the request counts against.
+    /// The team that is charged for the request.
     pub team: TeamName,
     /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// The estimated tokens of prompt and answer that are still to be computed.
+    /// The estimated tokens of the prompt and the answer that are still to be computed.
     pub tokens: u32,
-    /// When the first token is due.
+    /// The target time of the first token.
     pub first_token_by: Stamp,
-    /// When the whole answer is due.
+    /// The deadline of the whole answer.
     pub deadline: Stamp,
-    /// Whether the request was accepted before, so that it can no longer be refused.
+    /// Whether the request was accepted before and so must not be refused.
     pub accepted: bool,
 }
 
-/// A `Decision` is what an admission queue wants done.
+/// A `Decision` is an output of an admission queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The request is accepted and waits.
     Accept(Ticket),
-    /// The request is refused; the caller may come back after the given time.
+    /// The request is refused; the caller may retry after the given time.
     Refuse(Ticket, Duration),
-    /// The request is to be placed and run now.
+    /// The request starts now and has to be placed.
     Start(Ticket),
-    /// The request's deadline has passed while it waited.
+    /// The deadline of the request passed while it waited.
     Expire(Ticket),
 }
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -1,67 +1,73 @@
-//! Which backend servers fail too often to be trusted, from the outcomes of calls alone.
+//! Circuit breakers for backend servers, driven by the outcomes of calls.
 
 use std::time::Duration;
 
 use bulrushhall_core::Stamp;
 
-/// The part by which the share of failures moves with each outcome: about the last eight count.
-const STEP: f64 = 0.12;
-/// The share of failures from which a backend server is avoided. Plain services fail 14 of 100
-/// calls in good health at one early user, so the bound lies well above.
-const AVOIDED_FROM: f64 = 0.4;
-/// Failures in a row from which a backend server is avoided at once.
-const IN_A_ROW: u32 = 3;
-/// How long the first doubt lasts before one call is tried again.
-const PAUSE: Duration = Duration::from_millis(800);
-/// The longest pause between two such trials.
-const PAUSE_MAX: Duration = Duration::from_secs(4);
+/// The weight of a new outcome in the moving average of failures, which covers about eight calls.
+const OUTCOME_WEIGHT: f64 = 0.12;
+/// The failure rate at which a circuit breaker opens. The plain services of one deployment fail 14
+/// of 100 calls while healthy, so the threshold is well above that.
+const OPEN_FAILURE_RATE: f64 = 0.4;
+/// The number of consecutive failures at which a circuit breaker opens, whatever the failure rate.
+const OPEN_CONSECUTIVE_FAILURES: u32 = 3;
+/// How long a circuit breaker stays open at first.
+const MIN_OPEN_TIME: Duration = Duration::from_millis(800);
+/// The maximum time that a circuit breaker stays open before calls are tried again.
+const MAX_OPEN_TIME: Duration = Duration::from_secs(4);
 
-/// A `CircuitBreaker` is what the outcomes of calls tell about one backend server.
+/// A `CircuitBreaker` stops traffic to a backend server that fails too often.
 ///
-/// A health check can be good while requests fail. Callers would see a steady part of their
-/// requests fail until someone takes the server out; outcomes show it within a few calls.
+/// Health checks can pass while requests fail. A steady share of the callers' requests would then
+/// fail until an operator removes the server; the outcomes of calls show the fault within a few
+/// calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CircuitBreaker {
     failure_rate: f64,
-    row: u32,
-    avoided_until: Option<Stamp>,
-    pauses: u32,
+    consecutive_failures: u32,
+    open_until: Option<Stamp>,
+    times_opened: u32,
 }
 
 impl CircuitBreaker {
-    /// Notes a call that ended well.
+    /// Records a successful call.
     pub fn record_success(&mut self) {
-        self.failure_rate *= 1.0 - STEP;
-        self.row = 0;
-        if self.failure_rate < AVOIDED_FROM / 2.0 {
-            self.pauses = 0;
+        self.failure_rate *= 1.0 - OUTCOME_WEIGHT;
+        self.consecutive_failures = 0;
+        if self.failure_rate < OPEN_FAILURE_RATE / 2.0 {
+            self.times_opened = 0;
         }
-        if self.failure_rate < AVOIDED_FROM {
-            self.avoided_until = None;
+        if self.failure_rate < OPEN_FAILURE_RATE {
+            self.open_until = None;
         }
     }
 
-    /// Notes a call that failed; returns whether the server is newly avoided.
+    /// Records a failed call; returns whether the circuit breaker has newly opened.
     pub fn record_failure(&mut self, now: Stamp) -> bool {
-        self.failure_rate += (1.0 - self.failure_rate) * STEP;
-        self.row += 1;
-        if self.failure_rate < AVOIDED_FROM && self.row < IN_A_ROW {
+        self.failure_rate += (1.0 - self.failure_rate) * OUTCOME_WEIGHT;
+        self.consecutive_failures += 1;
+        if self.failure_rate < OPEN_FAILURE_RATE
+            && self.consecutive_failures < OPEN_CONSECUTIVE_FAILURES
+        {
             return false;
         }
-        let newly = self.avoided_until.is_none();
-        let pause = PAUSE.saturating_mul(1 << self.pauses.min(4)).min(PAUSE_MAX);
-        self.pauses += 1;
-        self.avoided_until = Some(now + pause);
-        newly
+        let newly_opened = self.open_until.is_none();
+        let open_time =
+            MIN_OPEN_TIME.saturating_mul(1 << self.times_opened.min(4)).min(MAX_OPEN_TIME);
+        self.times_opened += 1;
+        self.open_until = Some(now + open_time);
+        newly_opened
     }
 
-    /// Returns whether the server is avoided now. Once the pause is over calls are tried again;
-    /// the first that fails begins a longer pause.
+    /// Returns whether the circuit breaker is open.
+    ///
+    /// When the open time is over, calls are tried again; the first one that fails opens it for
+    /// longer.
     pub fn is_open(&self, now: Stamp) -> bool {
-        self.avoided_until.is_some_and(|until| now < until)
+        self.open_until.is_some_and(|until| now < until)
     }
 
-    /// Returns the share of failures among the last calls, 0 to 1.
+    /// Returns the moving average of failures among recent calls, from 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
--- a/crates/policy/src/copy_source.rs
+++ b/crates/policy/src/copy_source.rs
@@ -1,45 +1,46 @@
-//! The engine from which another one copies what it lacks of a prompt.
+//! The choice of an engine to copy cached prompt tokens from.
 
 use std::cmp::Reverse;
 
 use crate::placement::WorkerKey;
 
-/// The fewest tokens that are worth a copy: an engine reads fewer in the 5 to 10 ms that it takes to
-/// set one up.
+/// The minimum number of tokens that are worth a copy: an engine computes fewer within the 5 to 10
+/// ms that the setup of a copy takes.
 pub const MIN_COPIED_TOKENS: u32 = 512;
-/// The share of failures from which an engine is not copied from: the copy would fail too, and the
-/// prompt be read after a lost wait.
-const FAILING_MOST: f64 = 0.2;
+/// The failure rate at which an engine is no source: the copy would probably fail too, and the
+/// prompt would be computed after a wasted wait.
+const MAX_FAILURE_RATE: f64 = 0.2;
 
-/// A `SourceView` is what a node believes of an engine that may be copied from.
+/// A `SourceView` is the view that a node has of an engine that may be copied from.
 #[derive(Clone, Copy, Debug)]
 pub struct SourceView {
     /// The engine.
     pub key: WorkerKey,
-    /// The leading tokens of the prompt that it keeps.
+    /// The leading tokens of the prompt that it caches.
     pub cached: u32,
-    /// Whether it is in the same availability zone as the one that copies.
+    /// Whether it is in the availability zone of the engine that copies.
     pub same_zone: bool,
-    /// The requests of all nodes there.
+    /// The requests that all nodes have there.
     pub requests: u32,
-    /// The share of failures among the last calls there.
+    /// The share of failures among recent calls there.
     pub failure_rate: f64,
 }
 
 impl SourceView {
     fn is_trusted(&self) -> bool {
-        self.failure_rate < FAILING_MOST
+        self.failure_rate < MAX_FAILURE_RATE
     }
 }
 
-/// Returns the most leading tokens of the prompt that an engine keeps which may be copied from.
+/// Returns the maximum number of leading prompt tokens that a trusted source caches.
 pub fn max_cached_tokens(sources: &[SourceView]) -> u32 {
     let trusted = sources.iter().filter(|source| source.is_trusted());
     trusted.map(|source| source.cached).max().unwrap_or(0)
 }
 
-/// Chooses the engine that keeps most, the nearest and idlest of these; none where the copy would not
-/// be worth it for an engine that keeps `cached` tokens itself.
+/// Returns the trusted source that caches the most tokens, preferring the same zone and then the
+/// fewest requests; none if no source has enough tokens beyond the `cached` ones of the engine that
+/// copies.
 pub fn choose_source(
     sources: impl IntoIterator<Item = SourceView>,
     cached: u32,
--- a/crates/policy/src/engine_choice.rs
+++ b/crates/policy/src/engine_choice.rs
@@ -1,4 +1,4 @@
-//! The engine on which a request's first token is expected first.
+//! The choice of the engine with the earliest expected first token for a request.
 
 use std::time::Duration;
 
@@ -11,155 +11,163 @@
     placement::{WorkerKey, rendezvous_score},
 };
 
-/// The part of a prompt that the engines at home for it are believed to have cached without an own
-/// record: other nodes send the same prompts there.
-const HOME_SHARE: f64 = 0.6;
-/// The engines at home for one shared part: two, so that the loss of one does not lose the part.
-const HOMES: usize = 2;
-/// The part of an engine's memory that is planned with; the rest is for answers longer than hinted.
-const MEMORY_SHARE: f64 = 0.85;
-/// The spread, in milliseconds, of a random addend that keeps nodes from choosing alike.
+/// The share of the common prompt parts that a home engine is assumed to cache without a local
+/// record: other nodes send prompts with the same parts there.
+const HOME_CACHED_SHARE: f64 = 0.6;
+/// The number of home engines for a prompt part: two, so that the loss of one does not lose the
+/// part.
+const HOME_ENGINES: usize = 2;
+/// The usable share of an engine's memory; the rest is for answers longer than the hint.
+const USABLE_MEMORY_SHARE: f64 = 0.85;
+/// The maximum random jitter of a score, in milliseconds; it keeps nodes from making identical
+/// choices.
 const JITTER_MS: f64 = 3.0;
-/// How many of the slower events count that a running request means for a first token: a fuller batch
-/// is slower for all in it, and its requests read prompts too.
-const CROWDED_EVENTS: f64 = 3.0;
-/// The part that the slower events of the answer count against its first token: a long answer spends
-/// more of its time in the batch than before.
-const CROWDED_ANSWER: f64 = 0.08;
-/// What a share of failures of 1 adds, in milliseconds: about one lost attempt.
-const FAILING_MS: f64 = 1_500.0;
-/// The time until a copy from another engine's memory begins, in milliseconds: what the early users'
-/// engines take, 1.7 and 5, and the way between two availability zones.
+/// The number of event gaps by whose increase per running request a first token is penalized: a
+/// fuller batch is slower for all its requests, and these have prompts to compute too.
+const CONTENTION_EVENTS: f64 = 3.0;
+/// The weight of the slowdown of the answer's own events relative to its first token: a long answer
+/// spends more of its time in the batch than before it.
+const ANSWER_CONTENTION_WEIGHT: f64 = 0.08;
+/// The penalty for a failure rate of 1, in milliseconds: about one lost attempt.
+const FAILURE_PENALTY_MS: f64 = 1_500.0;
+/// The setup time of a copy from the memory of another engine, in milliseconds: known engines take
+/// 1.7 and 5 ms, plus the network latency between two availability zones.
 const COPY_SETUP_MS: f64 = 6.0;
-/// What a copied token counts in the choice, as a part of one that is read: a copy is quick and yet takes
-/// room in a second memory and of the links. Counted by its time alone, each queue of a few
-/// milliseconds would move a prompt.
+/// The weight of a copied token relative to a computed one: a copy is fast, but uses memory of a
+/// second engine and network bandwidth. If only its time counted, every queue of a few milliseconds
+/// would move a prompt.
 const COPY_WEIGHT: f64 = 0.5;
-/// How much a prompt that is read weighs for the requests already running there, per full batch.
+/// The weight of the delay that computing a prompt causes to the requests of a full batch.
 const DELAY_WEIGHT: f64 = 0.5;
 
-/// An `EngineView` is what a node believes of one engine at the moment of a choice.
+/// An `EngineView` is the view that a node has of one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineView {
     /// The engine.
     pub key: WorkerKey,
-    /// A hash of its name, the same on all nodes.
+    /// A hash of its name, equal on all nodes.
     pub identity: u64,
-    /// The requests that its batch holds.
+    /// The number of slots in its batch.
     pub slots: u32,
-    /// The tokens that its memory holds.
+    /// The capacity of its memory in tokens.
     pub memory: u64,
-    /// The requests of all nodes there.
+    /// The requests that all nodes have there.
     pub requests: u32,
-    /// The prompt tokens, of requests at least as urgent, that have no first token yet.
+    /// The prompt tokens of requests that are at least as urgent and have no first token yet.
     pub waiting_tokens: u64,
-    /// The tokens that the requests there take in its memory.
+    /// The tokens that requests occupy in its memory.
     pub held_tokens: u64,
-    /// The leading tokens of the prompt that this node's record says are cached there.
+    /// The leading tokens of the prompt that it caches according to this node's records.
     pub cached: u32,
-    /// How many times the predicted time first tokens took lately.
+    /// The ratio of the actual to the predicted time to first token, for recent requests.
     pub slowness: f64,
-    /// The one-way latency to it.
+    /// The one-way network latency to it.
     pub network_latency: Duration,
-    /// The share of failures among the last calls there.
+    /// The share of failures among recent calls there.
     pub failure_rate: f64,
-    /// Whether it fails too often to be used while there are others.
+    /// Whether its circuit breaker is open; it is then used only if the breakers of all engines
+    /// are.
     pub circuit_open: bool,
 }
 
-/// An `EngineRequest` is what has to be placed.
+/// An `EngineRequest` is a request for an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineRequest<'a> {
-    /// The parts of the prompt, in order.
+    /// The shareable parts of the prompt, in order.
     pub parts: &'a [PromptPart],
     /// The tokens of the whole prompt.
     pub prompt_tokens: u32,
-    /// The expected tokens of the answer.
+    /// The expected number of answer tokens.
     pub answer_tokens: u32,
-    /// The most leading tokens that some engine is believed to keep.
+    /// The maximum number of leading prompt tokens that any engine probably caches.
     pub cached_elsewhere: u32,
-    /// The tokens that an engine copies from another one's memory in a millisecond; 0 where it can't.
+    /// The tokens that an engine can copy from another one per millisecond; 0 if it can't.
     pub copied_per_ms: f64,
-    /// How fast the engines are.
+    /// The latency model of the engines.
     pub model: EngineLatencyModel,
-    /// The prompt tokens that other nodes have sent to all engines and that are not in the views yet.
+    /// The prompt tokens that other nodes sent to all engines and that the views do not include
+    /// yet.
     pub unseen_tokens: f64,
 }
 
-/// An `EngineChoice` is a chosen engine with what is expected of it.
+/// An `EngineChoice` is an engine with the expected work and latency of the request there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineChoice {
     /// The engine.
     pub key: WorkerKey,
-    /// The prompt tokens that it has to read.
+    /// The prompt tokens that it has to compute.
     pub prefill_tokens: u32,
-    /// The leading tokens that it keeps by this node's record.
+    /// The leading prompt tokens that it caches according to this node's records.
     pub cached: u32,
     /// The prompt tokens that it copies from another engine.
     pub copied: u32,
-    /// The time until it begins to read them.
+    /// The expected queueing time before the computation of the prompt.
     pub wait: Duration,
-    /// The time until the first token.
+    /// The expected time to first token.
     pub first_token: Duration,
 }
 
-/// Chooses the engine whose first token is expected first, all things counted; none without one.
+/// Returns the engine with the lowest score, which is the expected time to first token plus
+/// penalties, or none without engines.
 ///
-/// Where many nodes see the same loads a moment late, all would choose the engine that looks best, and
-/// each would find the others' requests before its own. So a node assumes that what it can't see yet
-/// fills up the engines that look best, and chooses among these by how much of it each has room for. Only
-/// engines that keep as much of the prompt as the best one are chosen from.
+/// If many nodes see the same slightly outdated loads and all choose the engine with the lowest
+/// score, their requests queue behind each other there. A node therefore assumes that the requests
+/// that it can't see yet fill up the engines with the lowest scores to a common level, and chooses
+/// among these with a probability proportional to the gap between score and level. Only engines
+/// that have no more prompt tokens to compute or copy than the best one take part.
 pub fn choose_engine(
     req: EngineRequest<'_>,
     engines: &[EngineView],
     random: &mut dyn Rng,
 ) -> Option<EngineChoice> {
     let homes = homes(req.parts, engines);
-    let trusted = engines.iter().any(|engine| !engine.circuit_open);
-    let mut rated: Vec<Rated> = Vec::new();
+    let any_closed = engines.iter().any(|engine| !engine.circuit_open);
+    let mut candidates: Vec<Candidate> = Vec::new();
     for engine in engines {
-        if engine.circuit_open && trusted {
+        if engine.circuit_open && any_closed {
             continue;
         }
-        let expected = expect(req, engine, homes.contains(&Some(engine.key)));
-        let score = score(req, engine, &expected) + random.random_range(0.0..JITTER_MS);
-        rated.push(Rated { score, expected });
+        let choice = expected_choice(req, engine, homes.contains(&Some(engine.key)));
+        let score = score(req, engine, &choice) + random.random_range(0.0..JITTER_MS);
+        candidates.push(Candidate { score, choice });
     }
-    rated.sort_by(|one, other| one.score.total_cmp(&other.score));
-    let engines = rated.len();
-    // Elsewhere more of the prompt would be read or copied, which costs more than a queue that may not be.
-    let work = rated.first()?.work();
-    rated.retain(|rated| rated.work() <= work);
-    let unseen_ms = req.model.prefill_ms(req.unseen_tokens) * rated.len() as f64 / engines as f64;
-    let level = filled_to(&rated, unseen_ms);
-    let mut left = random.random_range(0.0..1.0) * unseen_ms;
-    for Rated { score, expected } in &rated {
-        left -= level - score;
-        if left <= 0.0 {
-            return Some(*expected);
+    candidates.sort_by(|one, other| one.score.total_cmp(&other.score));
+    let engine_count = candidates.len();
+    // Computing or copying more of the prompt elsewhere costs more than a queue that may not exist.
+    let min_work = candidates.first()?.prompt_work();
+    candidates.retain(|candidate| candidate.prompt_work() <= min_work);
+    let unseen_ms =
+        req.model.prefill_ms(req.unseen_tokens) * candidates.len() as f64 / engine_count as f64;
+    let level = fill_level(&candidates, unseen_ms);
+    let mut remaining = random.random_range(0.0..1.0) * unseen_ms;
+    for Candidate { score, choice } in &candidates {
+        remaining -= level - score;
+        if remaining <= 0.0 {
+            return Some(*choice);
         }
     }
-    rated.first().map(|first| first.expected)
+    candidates.first().map(|first| first.choice)
 }
 
-/// An engine with what is expected of it, and how much of a time, in milliseconds, that counts as.
-struct Rated {
+/// An engine that may be chosen, with its score in milliseconds.
+struct Candidate {
     score: f64,
-    expected: EngineChoice,
+    choice: EngineChoice,
 }
 
-impl Rated {
-    /// The tokens of the prompt that are read or copied there.
-    fn work(&self) -> u32 {
-        self.expected.prefill_tokens + self.expected.copied
+impl Candidate {
+    /// Returns the prompt tokens that the engine computes or copies.
+    fn prompt_work(&self) -> u32 {
+        self.choice.prefill_tokens + self.choice.copied
     }
 }
 
-// The score up to which `amount` fills up the engines that look best.
-fn filled_to(rated: &[Rated], amount: f64) -> f64 {
+// Returns the level to which `amount` fills up the engines with the lowest scores. The candidates
+// are sorted by score.
+fn fill_level(candidates: &[Candidate], amount: f64) -> f64 {
     let mut sum = 0.0;
     let mut level = f64::NEG_INFINITY;
-    for (at, Rated { score, .. }) in rated.iter().enumerate() {
+    for (at, Candidate { score, .. }) in candidates.iter().enumerate() {
         if level <= *score && 0 < at {
             break;
         }
@@ -169,56 +177,61 @@
     level
 }
 
-fn expect(req: EngineRequest<'_>, engine: &EngineView, home: bool) -> EngineChoice {
+fn expected_choice(req: EngineRequest<'_>, engine: &EngineView, is_home: bool) -> EngineChoice {
     let shared: u32 = req.parts.iter().map(|part| part.tokens).sum();
-    let guessed =
-        if home { (f64::from(shared.min(req.prompt_tokens)) * HOME_SHARE) as u32 } else { 0 };
-    let own = engine.cached.max(guessed);
-    let copied = copied(req, own);
-    let to_read = req.prompt_tokens.saturating_sub(own + copied);
+    let assumed = if is_home {
+        (f64::from(shared.min(req.prompt_tokens)) * HOME_CACHED_SHARE) as u32
+    } else {
+        0
+    };
+    let cached_tokens = engine.cached.max(assumed);
+    let copied = copied_tokens(req, cached_tokens);
+    let prefill_tokens = req.prompt_tokens.saturating_sub(cached_tokens + copied);
     let needed = u64::from(req.prompt_tokens) + u64::from(req.answer_tokens);
-    let room = (engine.memory as f64 * MEMORY_SHARE) as u64;
-    // Beyond its memory an engine puts the newest requests aside and reads them again.
-    let over = (engine.held_tokens + needed).saturating_sub(room).min(needed + room);
-    let full = engine.requests.saturating_sub(engine.slots);
-    // Beyond its batch one place comes free for each answer that ends.
-    let places = req.model.decode_work_ms(f64::from(req.answer_tokens), f64::from(engine.slots));
-    let reading = req.model.prefill_ms(engine.waiting_tokens as f64 + over as f64);
-    let wait = (reading + f64::from(full) * places) * engine.slowness;
-    let copying =
-        if 0 < copied { COPY_SETUP_MS + f64::from(copied) / req.copied_per_ms } else { 0.0 };
-    let read = req.model.first.at(f64::from(to_read)) * engine.slowness;
+    let usable = (engine.memory as f64 * USABLE_MEMORY_SHARE) as u64;
+    // An engine that runs out of memory preempts the newest requests and computes them again.
+    let preempted = (engine.held_tokens + needed).saturating_sub(usable).min(needed + usable);
+    let queued = engine.requests.saturating_sub(engine.slots);
+    // With a full batch, a slot becomes free whenever an answer ends.
+    let slot_ms = req.model.decode_work_ms(f64::from(req.answer_tokens), f64::from(engine.slots));
+    let queued_prefill = req.model.prefill_ms(engine.waiting_tokens as f64 + preempted as f64);
+    let wait = (queued_prefill + f64::from(queued) * slot_ms) * engine.slowness;
+    let copy = if 0 < copied { COPY_SETUP_MS + f64::from(copied) / req.copied_per_ms } else { 0.0 };
+    let prefill = req.model.first.at(f64::from(prefill_tokens)) * engine.slowness;
     EngineChoice {
         key: engine.key,
-        prefill_tokens: to_read,
+        prefill_tokens,
         cached: engine.cached,
         copied,
         wait: Duration::from_secs_f64(wait / 1_000.0),
-        first_token: Duration::from_secs_f64((wait + copying + read) / 1_000.0),
+        first_token: Duration::from_secs_f64((wait + copy + prefill) / 1_000.0),
     }
 }
 
-// What another engine keeps is copied in an eighth of the time that reading takes, or less.
-fn copied(req: EngineRequest<'_>, own: u32) -> u32 {
-    let copied = req.cached_elsewhere.min(req.prompt_tokens).saturating_sub(own);
+// Copying takes at most an eighth of the time of computing the same tokens.
+fn copied_tokens(req: EngineRequest<'_>, cached_tokens: u32) -> u32 {
+    let copied = req.cached_elsewhere.min(req.prompt_tokens).saturating_sub(cached_tokens);
     if 0.0 < req.copied_per_ms && MIN_COPIED_TOKENS <= copied { copied } else { 0 }
 }
 
-fn score(req: EngineRequest<'_>, engine: &EngineView, expected: &EngineChoice) -> f64 {
-    let first = expected.first_token.as_secs_f64() * 1_000.0;
-    let filled = f64::from(engine.requests) / f64::from(engine.slots.max(1));
-    let delay = req.model.prefill_ms(f64::from(expected.prefill_tokens)) * filled * DELAY_WEIGHT;
-    let slower = req.model.gap.slope * CROWDED_EVENTS;
-    let slower = slower + req.model.crowding_ms(f64::from(req.answer_tokens)) * CROWDED_ANSWER;
-    let crowding = f64::from(engine.requests) * slower;
-    let way = engine.network_latency.as_secs_f64() * 2_000.0;
-    let moved = req.model.prefill_ms(f64::from(expected.copied)) * COPY_WEIGHT;
-    first + delay + moved + crowding + way + engine.failure_rate * FAILING_MS
+// Returns the expected time to first token plus penalties, in milliseconds.
+fn score(req: EngineRequest<'_>, engine: &EngineView, choice: &EngineChoice) -> f64 {
+    let first_token = choice.first_token.as_secs_f64() * 1_000.0;
+    let utilization = f64::from(engine.requests) / f64::from(engine.slots.max(1));
+    let delay = req.model.prefill_ms(f64::from(choice.prefill_tokens)) * utilization * DELAY_WEIGHT;
+    let slowdown = req.model.gap.slope * CONTENTION_EVENTS;
+    let slowdown =
+        slowdown + req.model.contention_ms(f64::from(req.answer_tokens)) * ANSWER_CONTENTION_WEIGHT;
+    let contention = f64::from(engine.requests) * slowdown;
+    let round_trip = engine.network_latency.as_secs_f64() * 2_000.0;
+    let copy = req.model.prefill_ms(f64::from(choice.copied)) * COPY_WEIGHT;
+    first_token + delay + copy + contention + round_trip + engine.failure_rate * FAILURE_PENALTY_MS
 }
 
-// All nodes work out the same homes, so prompts that begin alike meet without a message.
-fn homes(parts: &[PromptPart], engines: &[EngineView]) -> [Option<WorkerKey>; HOMES] {
-    let mut homes = [None; HOMES];
+// Returns the home engines of the largest part. All nodes compute the same homes, so prompts with a
+// common prefix reach the same engines without communication.
+fn homes(parts: &[PromptPart], engines: &[EngineView]) -> [Option<WorkerKey>; HOME_ENGINES] {
+    let mut homes = [None; HOME_ENGINES];
     let Some(largest) = parts.iter().max_by_key(|part| part.tokens) else { return homes };
     let mut ranked: Vec<_> = engines
         .iter()
--- a/crates/policy/src/fleet/backoff.rs
+++ b/crates/policy/src/fleet/backoff.rs
@@ -1,4 +1,4 @@
-//! Places that refused a purchase or took VMs back, and how long they are left alone.
+//! Backoff for places that refused a purchase or reclaimed VMs.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,10 +6,10 @@
 
 use crate::fleet::Place;
 
-/// A `Backoff` keeps purchases away from places that have just failed.
+/// A `Backoff` prevents purchases in places that have just failed.
 ///
-/// A cloud that refuses one VM refuses the next one too for a while. Asking on and on costs calls
-/// and, with several services asking, drives all of them to the last place that still sells.
+/// A cloud that refuses one VM also refuses the next one for a while. Continuous attempts cost API
+/// calls and, with several services, drive all of them to the last place with capacity.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
     places: BTreeMap<Place, Refusals>,
@@ -22,26 +22,26 @@
 }
 
 impl Backoff {
-    /// Returns whether a place may be asked.
+    /// Returns whether a purchase in a place may be attempted.
     pub fn is_open(&self, now: Stamp, place: &Place) -> bool {
         self.places.get(place).is_none_or(|refusals| refusals.until <= now)
     }
 
-    /// Notes a refusal; the time left alone doubles with each one in a row.
-    pub fn refused(&mut self, now: Stamp, place: &Place, first: Duration, most: Duration) {
+    /// Records a refusal; the backoff doubles with each consecutive one.
+    pub fn refused(&mut self, now: Stamp, place: &Place, initial: Duration, max: Duration) {
         let refusals = self.places.entry(place.clone()).or_default();
-        let doubled = 1_u32 << refusals.count.min(16);
+        let factor = 1_u32 << refusals.count.min(16);
         refusals.count += 1;
-        refusals.until = refusals.until.max(now + first.saturating_mul(doubled).min(most));
+        refusals.until = refusals.until.max(now + initial.saturating_mul(factor).min(max));
     }
 
-    /// Leaves a place alone for a time.
-    pub fn hold(&mut self, now: Stamp, place: &Place, span: Duration) {
+    /// Prevents purchases in a place for a duration.
+    pub fn hold(&mut self, now: Stamp, place: &Place, duration: Duration) {
         let refusals = self.places.entry(place.clone()).or_default();
-        refusals.until = refusals.until.max(now + span);
+        refusals.until = refusals.until.max(now + duration);
     }
 
-    /// Notes that a place sold a VM.
+    /// Records a successful purchase, which resets the backoff.
     pub fn sold(&mut self, place: &Place) {
         self.places.remove(place);
     }
--- a/crates/policy/src/fleet/mod.rs
+++ b/crates/policy/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Which VMs are bought where, for which service, and which are given back.
+//! The fleet plan: which VMs are bought for each service, in which places, and which are released.
 
 mod backoff;
 mod offer;
--- a/crates/policy/src/fleet/offer.rs
+++ b/crates/policy/src/fleet/offer.rs
@@ -1,34 +1,34 @@
-//! What can be bought.
+//! The offers of a cloud.
 
 use bulrushhall_core::ZoneName;
 use serde::{Deserialize, Serialize};
 
-/// A `FleetMarket` tells whether a VM can be taken back.
+/// A `FleetMarket` is the purchase model of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FleetMarket {
-    /// Cheap, and taken back after a notice.
+    /// Cheap; the cloud can reclaim the VM after a notice period.
     Reclaimable,
-    /// Kept until it is released.
+    /// The VM is kept until it is released.
     OnDemand,
 }
 
-/// A `Place` is where and how a VM can be bought.
+/// A `Place` is a combination of zone, class and market in which a VM can be bought.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Place {
     /// The availability zone.
     pub zone: ZoneName,
-    /// The class of machine.
+    /// The VM class.
     pub class: String,
-    /// Whether the VM can be taken back.
+    /// The purchase model.
     pub market: FleetMarket,
 }
 
-/// A `FleetOffer` is a place and its price.
+/// A `FleetOffer` is a place with its price.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetOffer {
     /// The place.
     pub place: Place,
-    /// The price of an hour, in thousandths of a cent.
+    /// The price per hour, in thousandths of a cent.
     pub price: u64,
 }
--- a/crates/policy/src/fleet/options.rs
+++ b/crates/policy/src/fleet/options.rs
@@ -1,36 +1,38 @@
-//! The pace of the fleet plan.
+//! The options of the fleet plan.
 
 use std::time::Duration;
 
-/// `FleetOptions` set the pace of purchases and releases.
+/// `FleetOptions` control the timing of purchases and releases.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetOptions {
-    /// How long a place that refused is left alone at first; it doubles with each refusal.
-    pub refused: Duration,
-    /// The longest time that a place is left alone.
-    pub refused_max: Duration,
-    /// How long a zone and class is left alone after its VMs were taken back.
-    pub reclaimed: Duration,
-    /// The pause between two purchases with the same token.
-    pub repeat: Duration,
-    /// How long fewer engines must be needed before any is given back.
-    pub scale_in: Duration,
-    /// How many times a VM's price another place must undercut before the VM is replaced.
-    pub undercut: f64,
-    /// How long a VM that no plan knows must be listed before it is released.
-    pub orphan: Duration,
+    /// The initial backoff of a place that refused a purchase; it doubles with each consecutive
+    /// refusal.
+    pub initial_backoff: Duration,
+    /// The maximum backoff of a place.
+    pub max_backoff: Duration,
+    /// The backoff of a place after a VM in it was reclaimed.
+    pub reclaim_backoff: Duration,
+    /// The interval between two purchase attempts with the same token.
+    pub purchase_retry_interval: Duration,
+    /// How long fewer engines must be needed before any is released.
+    pub scale_in_delay: Duration,
+    /// The minimum ratio of the price of a VM to the price of another place at which the VM is
+    /// replaced.
+    pub replace_price_ratio: f64,
+    /// How long a VM that is not in the plan must be listed before it is released.
+    pub orphan_grace_period: Duration,
 }
 
 impl Default for FleetOptions {
     fn default() -> Self {
         FleetOptions {
-            refused: Duration::from_secs(5),
-            refused_max: Duration::from_secs(300),
-            reclaimed: Duration::from_secs(60),
-            repeat: Duration::from_secs(2),
-            scale_in: Duration::from_secs(120),
-            undercut: 1.3,
-            orphan: Duration::from_secs(120),
+            initial_backoff: Duration::from_secs(5),
+            max_backoff: Duration::from_secs(300),
+            reclaim_backoff: Duration::from_secs(60),
+            purchase_retry_interval: Duration::from_secs(2),
+            scale_in_delay: Duration::from_secs(120),
+            replace_price_ratio: 1.3,
+            orphan_grace_period: Duration::from_secs(120),
         }
     }
 }
--- a/crates/policy/src/fleet/plan.rs
+++ b/crates/policy/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of the fleet, as it is kept in the key-value service.
+//! The fleet plan, as stored in the key-value service.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -7,53 +7,53 @@
 
 use crate::fleet::Place;
 
-/// A `SlotId` names one purchase: the slot's number in its service, and the plan generation that
-/// chose its place.
+/// A `SlotId` identifies one purchase, by the number of the slot and the plan generation that chose
+/// its place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SlotId {
-    /// The number in the service; never used twice.
+    /// The number of the slot; it is never reused.
     pub number: u64,
     /// The plan generation that chose the place.
     pub generation: u64,
 }
 
-/// A `SlotState` is how far a slot's VM is.
+/// A `SlotState` is the lifecycle state of the VM of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SlotState {
-    /// It is to be bought.
+    /// The VM is to be bought.
     Wanted,
-    /// It is bought and gets ready.
+    /// The VM is bought and starting.
     Bought(VmName),
-    /// It serves.
+    /// The VM serves requests.
     Ready(VmName),
-    /// It takes no new work and is given back or taken back.
+    /// The VM accepts no new work and is being released or reclaimed.
     Leaving(VmName),
 }
 
-/// A `Slot` is one VM of the plan.
+/// A `Slot` is a place in the plan for one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slot {
-    /// Its name.
+    /// Its identifier.
     pub id: SlotId,
     /// The service that it is for.
     pub service: ServiceName,
-    /// Where it is bought.
+    /// The place in which its VM is bought.
     pub place: Place,
-    /// How far it is.
+    /// The state of its VM.
     pub state: SlotState,
 }
 
 /// A `FleetPlan` is the agreed state of all purchases.
 ///
 /// It is written by compare-and-swap before anything in it is bought. Two nodes that both believe
-/// to hold the duty therefore buy from the same slots with the same tokens. One that acts on an
-/// old plan can buy at most the slots that were wanted there and have since been replaced.
+/// that they hold the duty therefore buy the same slots with the same tokens. A node that acts on a
+/// stale plan can buy at most the slots that were wanted there and have since been replaced.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetPlan {
-    /// The number of this plan; it rises with each change.
+    /// The generation of this plan; it increases with each change.
     pub generation: u64,
-    /// The number that the next new slot gets.
+    /// The number of the next new slot.
     pub next: u64,
     /// The slots, by number.
     pub slots: BTreeMap<u64, Slot>,
@@ -61,7 +61,7 @@
 
 impl FleetPlan {
     /// Returns the slots of a service.
-    pub fn of<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Slot> {
+    pub fn slots_of<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Slot> {
         self.slots.values().filter(move |slot| slot.service == *service)
     }
 
@@ -72,7 +72,7 @@
 }
 
 impl SlotState {
-    /// Returns the VM, once there is one.
+    /// Returns the VM, or none before it is bought.
     pub fn vm(&self) -> Option<&VmName> {
         match self {
             SlotState::Wanted => None,
@@ -80,19 +80,19 @@
         }
     }
 
-    /// Returns whether it serves.
+    /// Returns whether the VM serves requests.
     pub fn is_ready(&self) -> bool {
         matches!(self, SlotState::Ready(_))
     }
 
-    /// Returns whether it serves or will serve.
-    pub fn counts(&self) -> bool {
+    /// Returns whether the VM serves requests or will do so.
+    pub fn is_active(&self) -> bool {
         !matches!(self, SlotState::Leaving(_))
     }
 }
 
 impl Slot {
-    /// Returns the token that makes its purchase idempotent.
+    /// Returns the idempotency token of the purchase.
     pub fn token(&self) -> String {
         format!("{}/{}", self.service, self.id)
     }
--- a/crates/policy/src/fleet/spread.rs
+++ b/crates/policy/src/fleet/spread.rs
@@ -1,16 +1,17 @@
-//! How many VMs a service needs so that any one availability zone can be lost.
+//! The number of VMs that a service needs to survive the loss of any one availability zone.
 
-/// A `Spread` is how many VMs a service has in all and in one zone at most.
+/// A `Spread` is the number of VMs of a service in total and per availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Spread {
-    /// The VMs in all.
+    /// The total number of VMs.
     pub total: u32,
-    /// The reclaimable VMs in one availability zone at most.
+    /// The maximum number of reclaimable VMs in one availability zone.
     pub per_zone: u32,
 }
 
 impl Spread {
-    /// Returns the smallest spread over `zones` zones that leaves `needed` VMs when one is lost.
+    /// Returns the smallest spread over `zones` zones that leaves `needed` VMs when one zone is
+    /// lost.
     pub fn surviving(needed: u32, zones: u32) -> Spread {
         if zones <= 1 {
             return Spread { total: needed, per_zone: needed };
--- a/crates/policy/src/fleet_counts/limits.rs
+++ b/crates/policy/src/fleet_counts/limits.rs
@@ -1,28 +1,29 @@
-//! What a service allows in each zone.
+//! The limits on the number of servers of a service.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use bulrushhall_core::ZoneName;
 
-/// A `CountLimits` are what a service allows in each zone, and what it costs there.
+/// `CountLimits` are the limits on the number of servers of a service per zone, and their prices.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CountLimits {
-    /// The fewest servers in a zone, of both markets together.
+    /// The minimum number of servers in a zone, over both markets.
     pub min: u32,
-    /// The most servers in a zone, of both markets together.
+    /// The maximum number of servers in a zone, over both markets.
     pub max: u32,
-    /// How long a server takes to start.
+    /// The startup time of a server.
     pub start: Duration,
-    /// The price of a reclaimable server as a part of an on-demand one's; none are sold without.
+    /// The price of a reclaimable server relative to an on-demand one; none if there is no
+    /// reclaimable market.
     pub reclaimable_price: Option<f64>,
-    /// The price of an on-demand server by zone.
+    /// The price of an on-demand server in each zone.
     pub zones: BTreeMap<ZoneName, f64>,
 }
 
 impl CountLimits {
-    // How many times the needed number is kept in reclaimable ones: the zones but one hold enough, since
-    // one can go at once.
-    pub(super) fn reserve(&self) -> f64 {
+    // Returns the ratio of planned to needed reclaimable servers: the need must still be met when
+    // all servers of one zone are reclaimed at once.
+    pub(super) fn reserve_factor(&self) -> f64 {
         let zones = self.zones.len().max(1) as f64;
         if 1.0 < zones { zones / (zones - 1.0) } else { 1.0 }
     }
--- a/crates/policy/src/fleet_counts/mod.rs
+++ b/crates/policy/src/fleet_counts/mod.rs
@@ -1,5 +1,5 @@
-//! How many backend servers of each market a service should have in each availability zone, where
-//! the platform buys and places them and takes only the counts.
+//! The number of backend servers of a service in each market and availability zone, for platforms
+//! that buy and place the servers themselves and accept only counts.
 
 mod limits;
 mod order;
--- a/crates/policy/src/fleet_counts/order.rs
+++ b/crates/policy/src/fleet_counts/order.rs
@@ -1,17 +1,17 @@
-//! An order for a number of servers.
+//! Orders for a number of servers.
 
 use bulrushhall_core::ZoneName;
 
-/// A `CountMarket` tells whether the servers of a count can be taken back.
+/// A `CountMarket` is the purchase model of the servers of a count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CountMarket {
-    /// Cheap, and taken back after a notice, all of a zone at once.
+    /// Cheap; the platform can reclaim all servers of a zone at once after a notice period.
     Reclaimable,
-    /// Kept until the count is lowered.
+    /// The servers are kept until the count is reduced.
     OnDemand,
 }
 
-/// A `CountOrder` asks for a number of servers.
+/// A `CountOrder` sets the number of servers in one zone and market.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CountOrder {
     /// The zone.
--- a/crates/policy/src/fleet_counts/planner.rs
+++ b/crates/policy/src/fleet_counts/planner.rs
@@ -1,4 +1,4 @@
-//! The orders that a demand asks for.
+//! The planner that derives orders from the demand.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,214 +9,225 @@
     sizing_rule::START_SLACK,
 };
 
-/// How long a zone that refused an order is left alone.
-const REFUSED_PAUSE: Duration = Duration::from_millis(900);
-/// How many starts of an engine after a reclaim the next one is expected: zones are mostly taken one
-/// after the other, and a holder that has just taken over does not know yet that none are sold.
-const SCARCE_STARTS: f64 = 2.5;
-/// How long enough engines must have been there before on-demand ones are given back.
-const STEADY_FOR: Duration = Duration::from_millis(500);
+/// How long no order is placed in a zone and market after a refusal.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(900);
+/// How long after a reclaim another one is expected, in engine startup times: zones are mostly
+/// reclaimed one after the other, and a new holder of the duty does not know yet that none are
+/// available.
+const SCARCITY_STARTS: f64 = 2.5;
+/// How long enough engines must have been present before on-demand ones are released.
+const RELEASE_DELAY: Duration = Duration::from_millis(500);
 
-/// How long no further server must have come before the first plan without any demand: longer than
-/// the time between two that register one after the other.
-const SETTLED_AFTER: Duration = Duration::from_millis(1_500);
-/// The demand, in busy engines, from which it is taken as seen.
-const BUSY_LEAST: f64 = 0.5;
+/// How long the number of servers must be constant before the first plan without demand: longer
+/// than the time between the registrations of two servers.
+const STABLE_COUNT_TIME: Duration = Duration::from_millis(1_500);
+/// The minimum number of busy engines that counts as demand.
+const MIN_BUSY: f64 = 0.5;
 
-/// A `CountPlanner` decides the orders of one service.
+/// A `CountPlanner` plans the orders of one service.
 ///
-/// Reclaimable servers are bought in reserve, since a reclaim mostly comes with a time in which none
-/// are sold. On-demand ones stand in only for what is missing then.
+/// Reclaimable servers are ordered with a reserve, since after a reclaim none are usually available
+/// for some time. On-demand servers only replace those that are missing then.
 #[derive(Clone, Debug, Default)]
 pub struct CountPlanner {
-    staffing: SizingRule,
-    ordered: BTreeMap<(ZoneName, CountMarket), Ordered>,
-    /// The servers that were there when the duty began, until the demand was seen for long enough.
-    found: Option<f64>,
+    sizing_rule: SizingRule,
+    orders: BTreeMap<(ZoneName, CountMarket), LastOrder>,
+    /// The number of servers when this node took over the duty, which is a lower bound until the
+    /// demand has been observed for long enough.
+    initial_servers: Option<f64>,
     demand_since: Option<Stamp>,
-    peak: RecentPeak,
-    stand_in_peak: RecentPeak,
+    reclaimable_peak: RecentPeak,
+    on_demand_peak: RecentPeak,
     needed: Option<f64>,
-    counted: u32,
-    counted_at: Stamp,
+    last_count: u32,
+    last_count_change: Stamp,
     enough_since: Option<Stamp>,
     reclaimed_at: Option<Stamp>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Ordered {
+struct LastOrder {
     count: u32,
-    at: Stamp,
+    ordered_at: Stamp,
     refused_until: Option<Stamp>,
-    /// The most that were there since.
-    most_seen: u32,
-    /// Those that were leaving when it was given.
+    /// The maximum number of servers that were present since.
+    max_present: u32,
+    /// The number of servers that were leaving when the order was placed.
     leaving: u32,
 }
 
-/// How many engines are needed.
+/// The number of engines that are needed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Needed {
-    /// For the highest demand that may return, in reclaimable ones.
-    kept: f64,
-    /// For the demand of the last seconds, whatever they cost.
-    at_once: f64,
+struct EngineNeed {
+    /// For the peak demand that may return, met by reclaimable engines.
+    reclaimable: f64,
+    /// For the demand of the last seconds, met at any price.
+    immediate: f64,
 }
 
-/// What one plan is made from.
-struct Situation<'a> {
+/// The inputs of one plan.
+struct PlanInput<'a> {
     now: Stamp,
     limits: &'a CountLimits,
-    seen: &'a BTreeMap<ZoneName, ZoneServers>,
+    servers: &'a BTreeMap<ZoneName, ZoneServers>,
 }
 
 impl CountPlanner {
-    /// Returns a planner that has seen nothing.
-    pub fn new(staffing: SizingRule) -> CountPlanner {
-        CountPlanner { staffing, ..CountPlanner::default() }
+    /// Returns a planner without observations.
+    pub fn new(sizing_rule: SizingRule) -> CountPlanner {
+        CountPlanner { sizing_rule, ..CountPlanner::default() }
     }
 
-    /// Notes the demand at a node that does not hold the duty.
+    /// Records the demand at a node that does not hold the duty.
     ///
-    /// A node that takes the duty over knows the highest demand of the last seconds, so it neither gives
-    /// engines back before the demand returns nor keeps all that it finds. What it ordered before is
-    /// not known to be in force any more.
+    /// A node that takes over the duty then knows the recent peak demand, so it neither releases
+    /// engines before the demand returns nor keeps all present ones. Its own earlier orders may
+    /// have been replaced, so they are discarded.
     pub fn observe(
         &mut self,
         now: Stamp,
         limits: &CountLimits,
         busy: f64,
-        seen: &BTreeMap<ZoneName, ZoneServers>,
+        servers: &BTreeMap<ZoneName, ZoneServers>,
     ) {
-        self.ordered.clear();
-        self.found = None;
-        self.note_demand(now, limits, busy);
-        self.note_reclaims(now, seen);
+        self.orders.clear();
+        self.initial_servers = None;
+        self.record_demand(now, limits, busy);
+        self.record_reclaims(now, servers);
     }
 
-    /// Returns the orders to give now.
+    /// Returns the orders to place now.
     ///
-    /// `busy` is the demand: the engines that would be busy all the time with it.
+    /// `busy` is the demand, as the number of engines that it fully utilizes.
     pub fn plan(
         &mut self,
         now: Stamp,
         limits: &CountLimits,
         busy: f64,
-        seen: &BTreeMap<ZoneName, ZoneServers>,
+        servers: &BTreeMap<ZoneName, ZoneServers>,
     ) -> Vec<CountOrder> {
-        let situation = Situation { now, limits, seen };
-        self.note_reclaims(now, seen);
-        if !self.is_settled(&situation, busy) {
-            return self.first_orders(&situation);
+        let input = PlanInput { now, limits, servers };
+        self.record_reclaims(now, servers);
+        if !self.is_count_stable(&input, busy) {
+            return self.initial_orders(&input);
         }
-        let Needed { kept, at_once } = self.needed(&situation, busy);
-        let reclaimable = self.reclaimable_targets(&situation, kept);
-        let on_demand = self.on_demand_targets(&situation, at_once, &reclaimable);
+        let EngineNeed { reclaimable, immediate } = self.engine_need(&input, busy);
+        let reclaimable = self.reclaimable_targets(&input, reclaimable);
+        let on_demand = self.on_demand_targets(&input, immediate, &reclaimable);
         let mut orders = Vec::new();
         for zone in limits.zones.keys() {
-            let kept = on_demand.get(zone).copied().unwrap_or(0);
-            let planned = reclaimable.get(zone).copied().unwrap_or(0);
-            let planned = planned.min(limits.max.saturating_sub(kept));
-            self.want(&situation, zone, CountMarket::Reclaimable, planned, &mut orders);
-            self.want(&situation, zone, CountMarket::OnDemand, kept, &mut orders);
+            let on_demand_count = on_demand.get(zone).copied().unwrap_or(0);
+            let count = reclaimable.get(zone).copied().unwrap_or(0);
+            let count = count.min(limits.max.saturating_sub(on_demand_count));
+            self.order(&input, zone, CountMarket::Reclaimable, count, &mut orders);
+            self.order(&input, zone, CountMarket::OnDemand, on_demand_count, &mut orders);
         }
         orders
     }
 
-    /// Returns the engines that are planned for, before the reserve.
+    /// Returns the planned number of engines, without the reserve.
     pub fn planned_for(&self) -> f64 {
         self.needed.unwrap_or(0.0)
     }
 
-    /// Notes that an order was refused: there are none of its kind in the zone for now.
+    /// Records that an order was refused, so none are available in its zone and market for now.
     pub fn refused(&mut self, now: Stamp, order: &CountOrder) {
         let key = (order.zone.clone(), order.market);
-        let Some(ordered) = self.ordered.get_mut(&key) else { return };
-        ordered.refused_until = Some(now + REFUSED_PAUSE);
+        let Some(last_order) = self.orders.get_mut(&key) else { return };
+        last_order.refused_until = Some(now + REFUSAL_BACKOFF);
     }
 
-    // While it is not known yet how many there are, reclaimable ones are ordered for half of the places.
-    // On-demand ones can then be given back a start earlier; what is too much goes with the first plan.
-    fn first_orders(&mut self, situation: &Situation<'_>) -> Vec<CountOrder> {
+    // While the number of servers is not known yet, orders half of the maximum as reclaimable
+    // servers. On-demand ones can then be released one startup time earlier; the first plan
+    // corrects any excess.
+    fn initial_orders(&mut self, input: &PlanInput<'_>) -> Vec<CountOrder> {
         let mut orders = Vec::new();
-        let limits = situation.limits;
+        let limits = input.limits;
         if limits.reclaimable_price.is_none() {
             return orders;
         }
         for zone in limits.zones.keys() {
             let count = (limits.max / 2).max(limits.min);
-            self.want(situation, zone, CountMarket::Reclaimable, count, &mut orders);
+            self.order(input, zone, CountMarket::Reclaimable, count, &mut orders);
         }
         orders
     }
 
-    // Servers register one after the other when all start together. Planned from the first few, the
-    // rest would be given back just before the first requests come.
-    fn is_settled(&mut self, situation: &Situation<'_>, busy: f64) -> bool {
-        if self.needed.is_some() || BUSY_LEAST < busy {
+    // Servers that start together register one after the other. A plan based on the first few would
+    // release the others just before the first requests arrive.
+    fn is_count_stable(&mut self, input: &PlanInput<'_>, busy: f64) -> bool {
+        if self.needed.is_some() || MIN_BUSY < busy {
             return true;
         }
-        let there: u32 = situation.seen.values().map(|seen| seen.on_demand).sum();
-        if there != self.counted {
-            self.counted = there;
-            self.counted_at = situation.now;
+        let present: u32 = input.servers.values().map(|servers| servers.on_demand).sum();
+        if present != self.last_count {
+            self.last_count = present;
+            self.last_count_change = input.now;
         }
-        0 < there && SETTLED_AFTER <= situation.now.since(self.counted_at)
+        0 < present && STABLE_COUNT_TIME <= input.now.since(self.last_count_change)
     }
 
-    // The servers that are there when the duty begins are what the operators thought right, or the
-    // holder before; demand that has not been seen yet is no reason for fewer.
-    fn needed(&mut self, situation: &Situation<'_>, busy: f64) -> Needed {
-        let Situation { now, limits, seen } = situation;
-        let mut needed = self.note_demand(*now, limits, busy);
-        let there = |of: fn(&ZoneServers) -> u32| f64::from(seen.values().map(of).sum::<u32>());
-        // Reclaimable ones were ordered with the reserve; taken for needed, each holder would add to it.
-        let reclaimable = there(|seen| seen.reclaimable) / limits.reserve();
-        let found = *self.found.get_or_insert(reclaimable.max(there(|seen| seen.on_demand)));
-        let seen_for = self.demand_since.map_or(Duration::ZERO, |since| now.since(since));
-        if seen_for < self.staffing.kept_for(limits.start) {
-            needed.kept = needed.kept.max(found);
+    // The servers that are present when the duty begins were chosen by the operators or by the
+    // previous holder. Their number is not reduced before the demand has been observed for long
+    // enough.
+    fn engine_need(&mut self, input: &PlanInput<'_>, busy: f64) -> EngineNeed {
+        let PlanInput { now, limits, servers } = input;
+        let mut need = self.record_demand(*now, limits, busy);
+        let present =
+            |of: fn(&ZoneServers) -> u32| f64::from(servers.values().map(of).sum::<u32>());
+        // Reclaimable servers were ordered with the reserve. Without this division, each new holder
+        // would add another reserve.
+        let reclaimable = present(|servers| servers.reclaimable) / limits.reserve_factor();
+        let initial_servers = *self
+            .initial_servers
+            .get_or_insert(reclaimable.max(present(|servers| servers.on_demand)));
+        let observed_for = self.demand_since.map_or(Duration::ZERO, |since| now.since(since));
+        if observed_for < self.sizing_rule.reclaimable_window(limits.start) {
+            need.reclaimable = need.reclaimable.max(initial_servers);
         }
-        if seen_for < self.staffing.stand_ins_for(limits.start) {
-            needed.at_once = needed.at_once.max(found);
+        if observed_for < self.sizing_rule.on_demand_window(limits.start) {
+            need.immediate = need.immediate.max(initial_servers);
         }
-        self.needed = Some(needed.at_once);
-        Needed { kept: needed.kept.max(1.0), at_once: needed.at_once.max(1.0) }
+        self.needed = Some(need.immediate);
+        EngineNeed { reclaimable: need.reclaimable.max(1.0), immediate: need.immediate.max(1.0) }
     }
 
-    fn note_demand(&mut self, now: Stamp, limits: &CountLimits, busy: f64) -> Needed {
-        if BUSY_LEAST < busy {
+    fn record_demand(&mut self, now: Stamp, limits: &CountLimits, busy: f64) -> EngineNeed {
+        if MIN_BUSY < busy {
             self.demand_since.get_or_insert(now);
         }
-        let engines = self.staffing.engines(busy);
-        let kept = self.peak.note(now, self.staffing.kept_for(limits.start), engines);
-        let stand_ins = self.staffing.stand_ins_for(limits.start);
-        Needed { kept, at_once: self.stand_in_peak.note(now, stand_ins, engines) }
+        let engines = self.sizing_rule.engines(busy);
+        let reclaimable = self.reclaimable_peak.add(
+            now,
+            self.sizing_rule.reclaimable_window(limits.start),
+            engines,
+        );
+        let on_demand_window = self.sizing_rule.on_demand_window(limits.start);
+        EngineNeed {
+            reclaimable,
+            immediate: self.on_demand_peak.add(now, on_demand_window, engines),
+        }
     }
 
-    fn reclaimable_targets(
-        &self,
-        situation: &Situation<'_>,
-        needed: f64,
-    ) -> BTreeMap<ZoneName, u32> {
-        let limits = situation.limits;
+    fn reclaimable_targets(&self, input: &PlanInput<'_>, needed: f64) -> BTreeMap<ZoneName, u32> {
+        let limits = input.limits;
         let mut targets = BTreeMap::new();
         if limits.reclaimable_price.is_none() {
             return targets;
         }
         let zones = limits.zones.len().max(1) as u32;
-        let total = (needed * limits.reserve()).ceil() as u32;
-        let (each, mut over) = (total / zones, total % zones);
+        let total = (needed * limits.reserve_factor()).ceil() as u32;
+        let (per_zone, mut remainder) = (total / zones, total % zones);
         for zone in by_price(limits) {
-            let more = over.min(1);
-            over -= more;
-            targets.insert(zone.clone(), (each + more).clamp(limits.min, limits.max));
+            let extra = remainder.min(1);
+            remainder -= extra;
+            targets.insert(zone.clone(), (per_zone + extra).clamp(limits.min, limits.max));
         }
-        // What is given back while none are sold has to be replaced by what costs several times as much.
-        if self.is_scarce(situation) {
+        // Servers released while none are available would be replaced by far more expensive ones.
+        if self.is_scarce(input) {
             for (zone, target) in &mut targets {
-                let there = situation.seen.get(zone).map_or(0, |seen| seen.reclaimable);
-                *target = (*target).max(there);
+                let present = input.servers.get(zone).map_or(0, |servers| servers.reclaimable);
+                *target = (*target).max(present);
             }
         }
         targets
@@ -224,121 +235,129 @@
 
     fn on_demand_targets(
         &mut self,
-        situation: &Situation<'_>,
+        input: &PlanInput<'_>,
         needed: f64,
         reclaimable: &BTreeMap<ZoneName, u32>,
     ) -> BTreeMap<ZoneName, u32> {
-        let Situation { now, limits, seen } = situation;
-        let there: u32 = seen.values().map(|seen| seen.reclaimable).sum();
-        let coming: u32 = limits.zones.keys().map(|zone| self.coming(situation, zone)).sum();
-        // Reclaims mostly take several zones one after the other. While none are sold, what the next one
-        // would take is replaced before it goes: an on-demand server takes seconds to start too.
-        let at_risk = seen.values().map(|seen| seen.reclaimable).max().unwrap_or(0);
-        let at_risk = if self.is_scarce(situation) { at_risk } else { 0 };
-        let missing = (needed.ceil() as u32).saturating_sub(there + coming - at_risk);
-        let standing_in: u32 = seen.values().map(|seen| seen.on_demand).sum();
-        let enough = needed <= f64::from(there + standing_in.min(missing));
+        let PlanInput { now, limits, servers } = input;
+        let present: u32 = servers.values().map(|servers| servers.reclaimable).sum();
+        let starting: u32 = limits.zones.keys().map(|zone| self.starting(input, zone)).sum();
+        // Several zones are usually reclaimed one after the other. While none are available, the
+        // servers that the next reclaim would take are replaced in advance, since an on-demand
+        // server also takes seconds to start.
+        let at_risk = servers.values().map(|servers| servers.reclaimable).max().unwrap_or(0);
+        let at_risk = if self.is_scarce(input) { at_risk } else { 0 };
+        let missing = (needed.ceil() as u32).saturating_sub(present + starting - at_risk);
+        let on_demand: u32 = servers.values().map(|servers| servers.on_demand).sum();
+        let enough = needed <= f64::from(present + on_demand.min(missing));
         let since = enough.then(|| self.enough_since.unwrap_or(*now));
         self.enough_since = since;
-        let steady = since.is_some_and(|since| STEADY_FOR <= now.since(since));
-        let mut wanted = if steady { missing } else { missing.max(standing_in) };
+        let may_release = since.is_some_and(|since| RELEASE_DELAY <= now.since(since));
+        let mut wanted = if may_release { missing } else { missing.max(on_demand) };
 
         let mut targets = BTreeMap::new();
-        // Those that are there come first: others would only start when they are no longer needed.
+        // Present servers are kept first: new ones would only be ready when they are no longer
+        // needed.
         for zone in by_price(limits) {
-            let of_zone = seen.get(zone).copied().unwrap_or_default();
-            let short = limits.min.saturating_sub(of_zone.reclaimable);
-            let kept = of_zone.on_demand.min(wanted.max(short));
+            let in_zone = servers.get(zone).copied().unwrap_or_default();
+            let below_min = limits.min.saturating_sub(in_zone.reclaimable);
+            let kept = in_zone.on_demand.min(wanted.max(below_min));
             targets.insert(zone.clone(), kept);
             wanted = wanted.saturating_sub(kept);
         }
         for zone in by_price(limits) {
-            let of_zone = seen.get(zone).copied().unwrap_or_default();
+            let in_zone = servers.get(zone).copied().unwrap_or_default();
             let planned = reclaimable.get(zone).copied().unwrap_or(0);
-            let taken = of_zone.reclaimable + self.coming(situation, zone).min(planned);
-            let kept = targets.entry(zone.clone()).or_default();
-            let more = wanted.min(limits.max.saturating_sub(taken + *kept));
-            *kept += more;
-            wanted -= more;
+            let used = in_zone.reclaimable + self.starting(input, zone).min(planned);
+            let target = targets.entry(zone.clone()).or_default();
+            let added = wanted.min(limits.max.saturating_sub(used + *target));
+            *target += added;
+            wanted -= added;
         }
         targets
     }
 
-    // The platform takes back all reclaimable servers of a zone at once; a plan lowers them one by one.
-    fn note_reclaims(&mut self, now: Stamp, seen: &BTreeMap<ZoneName, ZoneServers>) {
-        if seen.values().any(|seen| seen.reclaimable == 0 && 0 < seen.leaving) {
+    // The platform reclaims all reclaimable servers of a zone at once, whereas a plan reduces them
+    // gradually.
+    fn record_reclaims(&mut self, now: Stamp, servers: &BTreeMap<ZoneName, ZoneServers>) {
+        if servers.values().any(|servers| servers.reclaimable == 0 && 0 < servers.leaving) {
             self.reclaimed_at = Some(now);
         }
     }
 
-    // Whether the next zone may go at any moment, and what goes can't be bought again.
-    fn is_scarce(&self, situation: &Situation<'_>) -> bool {
-        let Situation { now, limits, .. } = situation;
-        let mut refused = self.ordered.values().filter_map(|ordered| ordered.refused_until);
-        let scarce_for = limits.start.mul_f64(SCARCE_STARTS);
-        refused.any(|until| *now < until + REFUSED_PAUSE)
-            || self.reclaimed_at.is_some_and(|at| now.since(at) < scarce_for)
+    // Returns whether another zone may be reclaimed soon and its servers can't be replaced by
+    // reclaimable ones.
+    fn is_scarce(&self, input: &PlanInput<'_>) -> bool {
+        let PlanInput { now, limits, .. } = input;
+        let mut refused = self.orders.values().filter_map(|last_order| last_order.refused_until);
+        let scarcity = limits.start.mul_f64(SCARCITY_STARTS);
+        refused.any(|until| *now < until + REFUSAL_BACKOFF)
+            || self.reclaimed_at.is_some_and(|at| now.since(at) < scarcity)
     }
 
-    // The reclaimable servers of a zone that were ordered and should start in time.
-    fn coming(&self, situation: &Situation<'_>, zone: &ZoneName) -> u32 {
+    // Returns the number of reclaimable servers of a zone that are ordered and should become ready
+    // in time.
+    fn starting(&self, input: &PlanInput<'_>, zone: &ZoneName) -> u32 {
         let key = (zone.clone(), CountMarket::Reclaimable);
-        let Some(ordered) = self.ordered.get(&key) else { return 0 };
-        let late = situation.limits.start + START_SLACK <= situation.now.since(ordered.at);
-        if late || ordered.refused_until.is_some() {
+        let Some(last_order) = self.orders.get(&key) else { return 0 };
+        let is_late = input.limits.start + START_SLACK <= input.now.since(last_order.ordered_at);
+        if is_late || last_order.refused_until.is_some() {
             return 0;
         }
-        // An order that no more than makes up for those that leave is taken and starts none.
-        let there = situation.seen.get(zone).map_or(0, |seen| seen.reclaimable + seen.leaving);
-        ordered.count.saturating_sub(there)
+        // The platform still counts leaving servers, so an order that only makes up for them starts
+        // none.
+        let counted =
+            input.servers.get(zone).map_or(0, |servers| servers.reclaimable + servers.leaving);
+        last_order.count.saturating_sub(counted)
     }
 
-    fn want(
+    fn order(
         &mut self,
-        situation: &Situation<'_>,
+        input: &PlanInput<'_>,
         zone: &ZoneName,
         market: CountMarket,
         count: u32,
         orders: &mut Vec<CountOrder>,
     ) {
-        let of_zone = situation.seen.get(zone).copied().unwrap_or_default();
-        let (there, leaving) = match market {
-            CountMarket::Reclaimable => (of_zone.reclaimable, of_zone.leaving),
-            CountMarket::OnDemand => (of_zone.on_demand, 0),
+        let in_zone = input.servers.get(zone).copied().unwrap_or_default();
+        let (present, leaving) = match market {
+            CountMarket::Reclaimable => (in_zone.reclaimable, in_zone.leaving),
+            CountMarket::OnDemand => (in_zone.on_demand, 0),
         };
         let key = (zone.clone(), market);
-        if !self.is_due(situation, &key, count, (there, leaving)) {
+        if !self.is_due(input, &key, count, (present, leaving)) {
             return;
         }
-        let (at, most_seen) = (situation.now, there);
-        let ordered = Ordered { count, at, refused_until: None, most_seen, leaving };
-        self.ordered.insert(key, ordered);
+        let (ordered_at, max_present) = (input.now, present);
+        let last_order = LastOrder { count, ordered_at, refused_until: None, max_present, leaving };
+        self.orders.insert(key, last_order);
         orders.push(CountOrder { zone: zone.clone(), market, count });
     }
 
     fn is_due(
         &mut self,
-        situation: &Situation<'_>,
+        input: &PlanInput<'_>,
         key: &(ZoneName, CountMarket),
         count: u32,
-        (there, leaving): (u32, u32),
+        (present, leaving): (u32, u32),
     ) -> bool {
-        let Some(ordered) = self.ordered.get_mut(key) else {
-            // A new holder does not repeat what is there already.
-            return count != there;
+        let Some(last_order) = self.orders.get_mut(key) else {
+            // A new holder places no orders for servers that are present already.
+            return count != present;
         };
-        if let Some(until) = ordered.refused_until {
-            return until <= situation.now && (count != there || ordered.count != count);
+        if let Some(until) = last_order.refused_until {
+            return until <= input.now && (count != present || last_order.count != count);
         }
-        // A reclaim takes servers that were ordered; the same number is ordered again at once, and also
-        // where an order was not carried out in time.
-        ordered.most_seen = ordered.most_seen.max(there);
-        let taken = there < ordered.most_seen.min(count);
-        // Those that left were counted by the platform when the order was given.
-        let left = there < count && leaving < ordered.leaving;
-        let late = there < count
-            && situation.limits.start + START_SLACK <= situation.now.since(ordered.at);
-        ordered.count != count || taken || left || late
+        // The same count is ordered again when a reclaim took servers that were ordered, and when
+        // the order was not fulfilled in time.
+        last_order.max_present = last_order.max_present.max(present);
+        let is_reclaimed = present < last_order.max_present.min(count);
+        // The platform counted the servers that have left since as present when the order was
+        // placed.
+        let has_left = present < count && leaving < last_order.leaving;
+        let is_late = present < count
+            && input.limits.start + START_SLACK <= input.now.since(last_order.ordered_at);
+        last_order.count != count || is_reclaimed || has_left || is_late
     }
 }
 
--- a/crates/policy/src/fleet_counts/sizing_rule.rs
+++ b/crates/policy/src/fleet_counts/sizing_rule.rs
@@ -1,23 +1,24 @@
-//! How many engines a demand needs.
+//! The number of engines that a demand needs.
 
 use std::time::Duration;
 
-/// How much longer than an engine's start an order may take before it is given again.
+/// The time beyond the startup time of an engine after which an order is repeated.
 pub(super) const START_SLACK: Duration = Duration::from_millis(1_500);
 
-/// `SizingRule` is how many engines a demand needs.
+/// A `SizingRule` determines the number of engines that a demand needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SizingRule {
-    /// The part of an engine's time that is used at most, however many there are.
+    /// The maximum utilization of an engine, however many there are.
     pub used_most: f64,
-    /// How many engines more are needed than are busy, in square roots of these: the work of many
-    /// callers varies by the square root of its mean, so a large fleet has a smaller part to spare.
+    /// The additional engines, as a multiple of the square root of the number of busy ones: the
+    /// work of many callers varies by the square root of its mean, so a large fleet needs a smaller
+    /// relative margin.
     pub spread: f64,
-    /// How many starts of an engine the highest demand is kept for in reclaimable ones: they cost little,
-    /// and there may be none to buy when the demand returns.
+    /// How long reclaimable engines for the peak demand are kept, in engine startup times: they are
+    /// cheap, and none may be available when the demand returns.
     pub kept_starts: f64,
-    /// How many starts of an engine the highest demand is kept for in on-demand ones: where it returns
-    /// sooner, engines that were given back would not be there in time.
+    /// How long on-demand engines for the peak demand are kept, in engine startup times: if the
+    /// demand returns sooner, released engines could not be replaced in time.
     pub stand_in_starts: f64,
 }
 
@@ -28,16 +29,16 @@
 }
 
 impl SizingRule {
-    /// Returns the engines for a demand that would keep `busy` of them busy all the time.
+    /// Returns the number of engines for a demand that fully utilizes `busy` engines.
     pub fn engines(&self, busy: f64) -> f64 {
         busy / self.used_most + self.spread * busy.sqrt()
     }
 
-    pub(super) fn kept_for(&self, start: Duration) -> Duration {
+    pub(super) fn reclaimable_window(&self, start: Duration) -> Duration {
         start.mul_f64(self.kept_starts) + START_SLACK
     }
 
-    pub(super) fn stand_ins_for(&self, start: Duration) -> Duration {
+    pub(super) fn on_demand_window(&self, start: Duration) -> Duration {
         start.mul_f64(self.stand_in_starts) + START_SLACK
     }
 }
--- a/crates/policy/src/fleet_counts/zone_servers.rs
+++ b/crates/policy/src/fleet_counts/zone_servers.rs
@@ -1,12 +1,14 @@
-//! The servers of one zone as a plan finds them.
+//! The present servers of one zone.
 
-/// `ZoneServers` are the servers of one zone that take work now.
+/// `ZoneServers` are the numbers of servers in one zone that accept work, and of those that are
+/// leaving.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneServers {
-    /// The reclaimable ones.
+    /// The reclaimable servers.
     pub reclaimable: u32,
-    /// The on-demand ones.
+    /// The on-demand servers.
     pub on_demand: u32,
-    /// The reclaimable ones that are leaving and take no new work; the platform counts them still.
+    /// The reclaimable servers that are leaving and accept no new work; the platform still counts
+    /// them.
     pub leaving: u32,
 }
--- a/crates/policy/src/latency_budget.rs
+++ b/crates/policy/src/latency_budget.rs
@@ -1,52 +1,55 @@
-//! Whether a request is still worth sending, or is refused at once.
+//! Load shedding: whether a request is sent or refused at once, by its expected wait.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// The gap between events after which callers give a stream up, at least.
-const GIVE_UP_LEAST: Duration = Duration::from_secs(2);
-/// Callers wait this many latency targets for the first event, at least.
-const GIVE_UP_TARGETS: u32 = 4;
-/// Callers wait this many of the longest pauses between events, at least.
-const GIVE_UP_GAPS: u32 = 8;
-/// The part of the caller's patience that an expected wait may fill: expectations are off by about
-/// this much at high load.
-const FILLED: f64 = 0.7;
-/// The shortest time to come back, so that a refused caller does not meet the same queue.
-const AFTER_LEAST: Duration = Duration::from_millis(100);
+/// The minimum time after which callers abandon a stream without events.
+const MIN_ABANDON_TIME: Duration = Duration::from_secs(2);
+/// The minimum number of latency targets that callers wait for the first event.
+const ABANDON_LATENCY_TARGETS: u32 = 4;
+/// The minimum number of maximum event gaps that callers wait for the first event.
+const ABANDON_GAPS: u32 = 8;
+/// The share of the time that the caller waits which the expected wait may use; the rest covers the
+/// estimation error at high load.
+const MAX_WAIT_SHARE: f64 = 0.7;
+/// The minimum retry delay of a refused caller, so that it does not meet the same queue.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A `LatencyBudget` is how long a request's caller waits, and from when on an answer is late.
+/// A `LatencyBudget` is the time that the caller of a request waits for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LatencyBudget {
-    /// The time until the answer, or its first event, after which it is late.
+    /// The target latency of the answer or, for a stream, of its first event.
     pub target: Duration,
-    /// The longest pause between events of an answer in time; none where it is no stream.
+    /// The target for the gap between two events of a stream; none if the answer is not a stream.
     pub max_gap: Option<Duration>,
-    /// The time that is left until the caller's deadline.
+    /// The time left until the caller's deadline.
     pub remaining: Duration,
 }
 
 impl LatencyBudget {
-    /// Returns how long the caller waits for the first event.
+    /// Returns how long the caller waits for the answer or its first event.
     pub fn first_event_timeout(&self) -> Duration {
         let Some(gap) = self.max_gap else { return self.remaining };
-        let gives_up = GIVE_UP_LEAST.max(self.target * GIVE_UP_TARGETS).max(gap * GIVE_UP_GAPS);
-        gives_up.min(self.remaining)
+        let abandon_time =
+            MIN_ABANDON_TIME.max(self.target * ABANDON_LATENCY_TARGETS).max(gap * ABANDON_GAPS);
+        abandon_time.min(self.remaining)
     }
 
-    /// Decides whether a request with an expected wait is sent, or refused with a time to return.
+    /// Checks the expected wait of a request; returns the retry delay as an error if the request is
+    /// to be refused.
     ///
-    /// Under a burst each request sent behind a long queue is late and makes those after it late
-    /// too, until callers leave while their prompts are still read. Those whose wait alone fills
-    /// the target are told at once to come back when the queue will have been worked off; the rest
-    /// is served in time. What a request needs for itself is no ground: large ones would starve.
+    /// During a burst, requests sent behind a long queue are late and delay those after them, until
+    /// callers abandon requests whose prompts are still being computed. Requests whose wait alone
+    /// exceeds the target are refused at once, with a retry delay by which the queue has drained,
+    /// so that the others are served in time. The processing time of the request itself does not
+    /// count, or large requests would starve.
     pub fn check_wait(&self, wait: Duration, random: &mut dyn Rng) -> Result<(), Duration> {
-        let most = self.target.min(self.first_event_timeout().mul_f64(FILLED));
-        if wait <= most {
+        let max_wait = self.target.min(self.first_event_timeout().mul_f64(MAX_WAIT_SHARE));
+        if wait <= max_wait {
             return Ok(());
         }
-        let after = (wait - most).max(AFTER_LEAST);
-        Err(after.mul_f64(random.random_range(1.0..1.5)))
+        let retry_after = (wait - max_wait).max(MIN_RETRY_AFTER);
+        Err(retry_after.mul_f64(random.random_range(1.0..1.5)))
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions on admission, queues, placement, retries and the fleet, as state machines.
+//! Admission, queueing, placement, retry and fleet planning decisions, as state machines.
 //!
-//! Nothing here reads a clock, opens a socket or spawns a task: time, events and random numbers
-//! come in as arguments and decisions go out as values.
+//! Nothing here reads a clock, opens a socket or spawns a task: time, events and random number
+//! generators are arguments, and decisions are return values.
 
 pub mod admission;
 pub mod circuit_breaker;
--- a/crates/policy/src/observed/call_times.rs
+++ b/crates/policy/src/observed/call_times.rs
@@ -1,23 +1,23 @@
-//! How long the calls of a plain service take.
+//! The latency of calls to a plain service.
 
 use std::time::Duration;
 
 use crate::observed::RecentSamples;
 
-/// The calls that are held: two seconds' worth at some tens a second.
-const HELD: usize = 64;
-/// The median and the long end while none was seen: short calls, and a silence after which one that
-/// is lost is sent again before its caller gives up.
+/// The number of samples that are kept: two seconds of calls at some tens per second.
+const SAMPLES: usize = 64;
+/// The initial median and 95th percentile: short calls, and a timeout after which a lost call can
+/// be retried before its caller gives up.
 const PRIOR: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(80));
-/// The share of calls that take no longer than the long end.
-const LONG_SHARE: f64 = 0.95;
-/// After how many calls the figures are drawn anew, the first time too.
-const DRAWN_EACH: u64 = 8;
+/// The quantile that [`CallTimes::p95`] returns.
+const P95: f64 = 0.95;
+/// The number of calls between updates of the estimates, and before the first one.
+const UPDATE_INTERVAL: u64 = 8;
 
-/// `CallTimes` are how long the calls of one plain service took lately.
+/// `CallTimes` are quantiles of the recent call latency of one plain service.
 #[derive(Clone, Debug)]
 pub struct CallTimes {
-    recent: RecentSamples<HELD>,
+    recent: RecentSamples<SAMPLES>,
     median: Duration,
     p95: Duration,
 }
@@ -29,23 +29,23 @@
 }
 
 impl CallTimes {
-    /// Takes in a call that was answered.
+    /// Records a call that was answered.
     pub fn note(&mut self, took: Duration) {
         self.recent.note(took.as_secs_f64());
-        if !self.recent.seen().is_multiple_of(DRAWN_EACH) {
+        if !self.recent.total().is_multiple_of(UPDATE_INTERVAL) {
             return;
         }
         let quantile = |share| self.recent.quantile(share).map(Duration::from_secs_f64);
         self.median = quantile(0.5).unwrap_or(self.median);
-        self.p95 = quantile(LONG_SHARE).unwrap_or(self.p95);
+        self.p95 = quantile(P95).unwrap_or(self.p95);
     }
 
-    /// Returns the time that half of the calls take at most.
+    /// Returns the median latency.
     pub fn median(&self) -> Duration {
         self.median
     }
 
-    /// Returns the time that almost all calls take at most.
+    /// Returns the 95th percentile of the latency.
     pub fn p95(&self) -> Duration {
         self.p95
     }
--- a/crates/policy/src/observed/engine_latency_estimator.rs
+++ b/crates/policy/src/observed/engine_latency_estimator.rs
@@ -1,115 +1,119 @@
-//! How the speed of a service's engines is learnt.
+//! The estimation of the latency model of engines.
 
 use std::time::Duration;
 
 use crate::observed::{EngineLatencyModel, LineFit, RecentSamples};
 
-/// The prompt tokens at the nearer point of the prior line of first tokens: a short question.
-const READ_UNIT: f64 = 250.0;
-/// The running requests at the nearer point of the prior line of gaps: an engine that is almost idle.
+/// The prompt tokens at the lower prior point of the line for first tokens: a short question.
+const PREFILL_UNIT: f64 = 250.0;
+/// The running requests at the lower prior point of the line for gaps: an engine that is almost
+/// idle.
 const RUNNING_UNIT: f64 = 2.0;
-/// The ended streams from which the tokens of an event are told.
+/// The number of streams from which the tokens per event are estimated.
 const STREAMS: usize = 64;
-/// After how many samples the lines are drawn anew; between, the last ones hold.
-const DRAWN_EACH: u64 = 8;
-/// The samples from which a node goes by its own; below, by what another node learnt.
-const OWN_LEAST: u64 = 24;
+/// The number of samples between updates of the model.
+const UPDATE_INTERVAL: u64 = 8;
+/// The minimum number of samples for a node to use its own model rather than a received one.
+const MIN_OWN_SAMPLES: u64 = 24;
 
-/// A `FirstTokenSample` is a first token from an engine with no queue before it.
+/// A `FirstTokenSample` is the time to first token of a request without a queue before it.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstTokenSample {
-    /// The prompt tokens that were to be read.
+    /// The prompt tokens that the engine computed.
     pub prefill_tokens: u32,
-    /// The time from the send.
+    /// The time since the request was sent.
     pub took: Duration,
 }
 
-/// A `StreamSample` is a stream that one engine wrote from its first event to its end.
+/// A `StreamSample` is a complete stream from one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamSample {
-    /// The requests that ran there meanwhile.
+    /// The number of requests that ran on the engine.
     pub running: u32,
-    /// The median time between two events: a prompt that is read in between stretches some gaps, and
-    /// its time is counted as reading already.
+    /// The median time between two events. Prompts computed in between lengthen some gaps, but that
+    /// time already counts as prompt computation.
     pub gap: Duration,
-    /// The events.
+    /// The number of events.
     pub events: u32,
-    /// The tokens that were expected.
+    /// The expected number of tokens.
     pub expected_tokens: u32,
 }
 
-/// An `EngineLatencyEstimator` learns the pace of one service's engines from their answers.
+/// An `EngineLatencyEstimator` learns the latency model of the engines of one service from their
+/// answers.
 #[derive(Clone, Debug)]
 pub struct EngineLatencyEstimator {
     first: LineFit,
     gap: LineFit,
     event_tokens: RecentSamples<STREAMS>,
-    drawn: EngineLatencyModel,
-    drawn_at: u64,
-    told: Option<EngineLatencyModel>,
+    own: EngineLatencyModel,
+    updated_at_sample: u64,
+    received: Option<EngineLatencyModel>,
 }
 
 impl Default for EngineLatencyEstimator {
     fn default() -> Self {
         let prior = EngineLatencyModel::default();
         EngineLatencyEstimator {
-            first: LineFit::new(READ_UNIT, prior.first),
+            first: LineFit::new(PREFILL_UNIT, prior.first),
             gap: LineFit::new(RUNNING_UNIT, prior.gap),
             event_tokens: RecentSamples::default(),
-            drawn: prior,
-            drawn_at: 0,
-            told: None,
+            own: prior,
+            updated_at_sample: 0,
+            received: None,
         }
     }
 }
 
 impl EngineLatencyEstimator {
-    /// Takes in a first token.
+    /// Records a first token.
     pub fn note_first_token(&mut self, sample: FirstTokenSample) {
         self.first.note(f64::from(sample.prefill_tokens), sample.took.as_secs_f64() * 1_000.0);
-        self.draw();
+        self.update_model();
     }
 
-    /// Takes in a stream that ended well.
+    /// Records a stream that completed successfully.
     pub fn note_stream(&mut self, sample: StreamSample) {
         self.gap.note(f64::from(sample.running.max(1)), sample.gap.as_secs_f64() * 1_000.0);
         self.event_tokens.note(f64::from(sample.expected_tokens) / f64::from(sample.events.max(1)));
-        self.draw();
+        self.update_model();
     }
 
-    /// Takes in what another node learnt; a node that has just started goes by it.
-    pub fn receive(&mut self, told: EngineLatencyModel) {
-        if OWN_LEAST <= told.samples {
-            self.told = Some(told);
+    /// Receives the model of another node, which is used while this node has too few samples.
+    pub fn receive(&mut self, model: EngineLatencyModel) {
+        if MIN_OWN_SAMPLES <= model.samples {
+            self.received = Some(model);
         }
     }
 
-    /// Returns the pace.
+    /// Returns the current model.
     pub fn model(&self) -> EngineLatencyModel {
-        match self.told {
-            Some(told) if self.drawn.samples < OWN_LEAST => told,
-            _ => self.drawn,
+        match self.received {
+            Some(received) if self.own.samples < MIN_OWN_SAMPLES => received,
+            _ => self.own,
         }
     }
 
-    /// Returns what this node learnt itself, to be told to others; none before it saw enough.
+    /// Returns the model from this node's own samples, for other nodes; none before there are
+    /// enough.
     pub fn own_model(&self) -> Option<EngineLatencyModel> {
-        (OWN_LEAST <= self.drawn.samples).then_some(self.drawn)
+        (MIN_OWN_SAMPLES <= self.own.samples).then_some(self.own)
     }
 
-    fn draw(&mut self) {
-        let samples = self.first.seen() + self.gap.seen();
-        if samples < self.drawn_at + DRAWN_EACH {
+    fn update_model(&mut self) {
+        let samples = self.first.total() + self.gap.total();
+        if samples < self.updated_at_sample + UPDATE_INTERVAL {
             return;
         }
-        self.drawn_at = samples;
+        self.updated_at_sample = samples;
         let prior = EngineLatencyModel::default();
-        self.drawn = EngineLatencyModel {
+        self.own = EngineLatencyModel {
             first: self.first.line(),
             gap: self.gap.line(),
             event_tokens: self.event_tokens.median().unwrap_or(prior.event_tokens),
-            // Both kinds are needed: an engine's reading tells nothing of its writing.
-            samples: self.first.seen().min(self.gap.seen()) * 2,
+            // Both kinds are needed: the prefill speed of an engine says nothing about its decoding
+            // speed.
+            samples: self.first.total().min(self.gap.total()) * 2,
         };
     }
 }
--- a/crates/policy/src/observed/engine_latency_model.rs
+++ b/crates/policy/src/observed/engine_latency_model.rs
@@ -1,39 +1,39 @@
-//! How fast the engines of a service are.
+//! The latency model of the engines of a service.
 
 use serde::{Deserialize, Serialize};
 
-/// A `Line` is a time, in milliseconds, that grows evenly with a quantity.
+/// A `Line` is a time in milliseconds that is a linear function of a quantity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// The time at none of it.
+    /// The time at a quantity of 0.
     pub base: f64,
-    /// What one more adds.
+    /// The additional time per unit of the quantity.
     pub slope: f64,
 }
 
 impl Line {
-    /// Returns the time at `value`.
+    /// Returns the time at the quantity `value`.
     pub fn at(self, value: f64) -> f64 {
         self.base + self.slope * value
     }
 }
 
-/// An `EngineLatencyModel` is what is believed of the speed of a service's engines.
+/// An `EngineLatencyModel` is a linear latency model of the engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineLatencyModel {
-    /// The time until the first token at an engine with no queue, by the prompt tokens to read.
+    /// The time to first token of an engine without a queue, by the prompt tokens to compute.
     pub first: Line,
-    /// The time between two events of a stream, by the requests that run on the engine.
+    /// The time between two events of a stream, by the number of requests that run on the engine.
     pub gap: Line,
-    /// The expected tokens of an answer that one event stands for.
+    /// The expected number of answer tokens per event.
     pub event_tokens: f64,
-    /// The samples that it rests on.
+    /// The number of samples behind the model.
     pub samples: u64,
 }
 
-/// The pace while nothing was seen: slower than any engine that was measured so far, by 1.1 to 2.2
-/// times in reading and 1.3 to 2 times in writing, so that the first plan has too many engines and
-/// not too few. It is left behind within the first second with callers.
+/// The prior, without any samples. It is 1.1 to 2.2 times slower than known engines at computing
+/// prompts and 1.3 to 2 times slower at generating tokens, so that the first plan has too many
+/// engines rather than too few. Samples replace it within the first second of traffic.
 impl Default for EngineLatencyModel {
     fn default() -> Self {
         EngineLatencyModel {
@@ -46,29 +46,29 @@
 }
 
 impl EngineLatencyModel {
-    /// Returns the time, in milliseconds, that reading prompt tokens takes.
+    /// Returns the time to compute prompt tokens, in milliseconds.
     pub fn prefill_ms(&self, tokens: f64) -> f64 {
         self.first.slope * tokens
     }
 
-    /// Returns the prompt tokens that are read in a millisecond.
+    /// Returns the prompt tokens that are computed per millisecond.
     pub fn prefill_tokens_per_ms(&self) -> f64 {
         1.0 / self.first.slope.max(f64::MIN_POSITIVE)
     }
 
-    /// Returns the time, in milliseconds, that an answer takes in a batch of `batch` requests.
+    /// Returns the time to generate an answer in a batch of `batch` requests, in milliseconds.
     pub fn decode_ms(&self, tokens: f64, batch: f64) -> f64 {
         tokens / self.event_tokens.max(f64::MIN_POSITIVE) * self.gap.at(batch)
     }
 
-    /// Returns the part of an engine's time, in milliseconds, that an answer takes up in a batch of
-    /// `batch` requests.
+    /// Returns the share of an answer in the time of an engine with a batch of `batch` requests, in
+    /// milliseconds.
     pub fn decode_work_ms(&self, tokens: f64, batch: f64) -> f64 {
         self.decode_ms(tokens, batch) / batch.max(1.0)
     }
 
-    /// Returns what a further running request adds, in milliseconds, to an answer of `tokens`.
-    pub fn crowding_ms(&self, tokens: f64) -> f64 {
+    /// Returns the time that each additional running request adds to an answer, in milliseconds.
+    pub fn contention_ms(&self, tokens: f64) -> f64 {
         tokens / self.event_tokens.max(f64::MIN_POSITIVE) * self.gap.slope
     }
 }
--- a/crates/policy/src/observed/mod.rs
+++ b/crates/policy/src/observed/mod.rs
@@ -1,7 +1,7 @@
-//! What is learnt of backend servers from their answers: how fast they read, write and reply.
+//! Latency estimates of backend servers, learned from their answers.
 //!
-//! Nodes serve deployments whose machines nobody has measured before. Decisions ask these models
-//! instead of assuming the speeds of some machines.
+//! The speed of the servers in a deployment is not known in advance. Decisions use these estimates
+//! rather than fixed assumptions.
 
 mod call_times;
 mod engine_latency_estimator;
--- a/crates/policy/src/observed/recent_samples.rs
+++ b/crates/policy/src/observed/recent_samples.rs
@@ -1,57 +1,58 @@
-//! The last samples of one quantity.
+//! A ring buffer of samples with quantiles.
 
 /// A `RecentSamples` holds the last `N` samples of a quantity.
 ///
-/// What it tells are quantiles: a few samples that were disturbed by a queue, a retransmission or a
-/// server that went away do not move them, as they would move a mean.
+/// Its estimates are quantiles because these, unlike a mean, are not distorted by a few outliers
+/// from a queue, a retransmission or a server failure.
 #[derive(Clone, Debug)]
 pub struct RecentSamples<const N: usize> {
     samples: [f32; N],
-    seen: u64,
+    total: u64,
 }
 
 impl<const N: usize> Default for RecentSamples<N> {
     fn default() -> Self {
-        RecentSamples { samples: [0.0; N], seen: 0 }
+        RecentSamples { samples: [0.0; N], total: 0 }
     }
 }
 
 impl<const N: usize> RecentSamples<N> {
-    /// Takes in a sample, in place of the oldest; what is no finite number is left out.
+    /// Adds a sample, which replaces the oldest one; non-finite values are ignored.
     pub fn note(&mut self, sample: f64) {
         if !sample.is_finite() {
             return;
         }
-        self.samples[(self.seen % N as u64) as usize] = sample as f32;
-        self.seen += 1;
+        self.samples[(self.total % N as u64) as usize] = sample as f32;
+        self.total += 1;
     }
 
-    /// Returns the number of samples that are held.
+    /// Returns the number of samples that are kept.
     pub fn len(&self) -> usize {
-        usize::try_from(self.seen).unwrap_or(N).min(N)
+        usize::try_from(self.total).unwrap_or(N).min(N)
     }
 
-    /// Returns whether there was no sample yet.
+    /// Returns whether there are no samples.
     pub fn is_empty(&self) -> bool {
-        self.seen == 0
+        self.total == 0
     }
 
-    /// Returns the number of samples ever taken in.
-    pub fn seen(&self) -> u64 {
-        self.seen
+    /// Returns the total number of samples recorded.
+    pub fn total(&self) -> u64 {
+        self.total
     }
 
-    /// Returns the sample below which the part `share` of those held lie; none without samples.
-    pub fn quantile(&self, share: f64) -> Option<f64> {
-        let mut held = self.samples;
-        let held = &mut held[..self.len()];
-        let last = held.len().checked_sub(1)?;
-        let index = (share * last as f64).round() as usize;
-        let (_, sample, _) = held.select_nth_unstable_by(index.min(last), f32::total_cmp);
+    /// Returns the quantile `q` of the kept samples, for example 0.5 for the median; none without
+    /// samples.
+    pub fn quantile(&self, q: f64) -> Option<f64> {
+        let mut samples = self.samples;
+        let samples = &mut samples[..self.len()];
+        let last = samples.len().checked_sub(1)?;
+        let index = (q * last as f64).round() as usize;
+        let (_, sample, _) = samples.select_nth_unstable_by(index.min(last), f32::total_cmp);
         Some(f64::from(*sample))
     }
 
-    /// Returns the median of those held; none without samples.
+    /// Returns the median of the kept samples; none without samples.
     pub fn median(&self) -> Option<f64> {
         self.quantile(0.5)
     }
--- a/crates/policy/src/placement/baselines.rs
+++ b/crates/policy/src/placement/baselines.rs
@@ -1,4 +1,4 @@
-//! Simple placements that the real one is measured against.
+//! Simple placement policies, as baselines for the default one.
 
 use bulrushhall_core::Stamp;
 use rand::{Rng, RngExt};
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Random;
 
-/// `RoundRobin` chooses one engine after the other.
+/// `RoundRobin` chooses the engines in turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
 }
 
-/// `LeastOutstanding` chooses the engine with the fewest requests of this node.
+/// `LeastOutstanding` chooses the engine with the fewest outstanding requests from this node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastOutstanding;
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TwoChoices;
 
-/// `PrefixAffinity` chooses the engine that the prompt's prefix hashes to, whatever its load.
+/// `PrefixAffinity` chooses the engine that the prompt's prefix hashes to, regardless of its load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrefixAffinity;
 
@@ -100,15 +100,18 @@
     }
 }
 
-/// Returns the engines that a request can go to: open ones, and of those the ones that have not
-/// failed for it while there are any.
+/// Returns the engines that are eligible for a request: the open ones with a suitable role, without
+/// those to avoid unless no others are left.
 pub(crate) fn candidates<'a>(
     req: &'a PlacementRequest,
     workers: &'a [WorkerView],
 ) -> impl Iterator<Item = &'a WorkerView> {
     let fits = |worker: &&WorkerView| worker.open && req.stage.fits(worker.role);
-    let avoidable = workers.iter().filter(fits).any(|worker| !req.avoid.contains(&worker.key));
-    workers.iter().filter(fits).filter(move |worker| !avoidable || !req.avoid.contains(&worker.key))
+    let has_others = workers.iter().filter(fits).any(|worker| !req.avoid.contains(&worker.key));
+    workers
+        .iter()
+        .filter(fits)
+        .filter(move |worker| !has_others || !req.avoid.contains(&worker.key))
 }
 
 fn nth<'a>(
--- a/crates/policy/src/placement/hints.rs
+++ b/crates/policy/src/placement/hints.rs
@@ -1,4 +1,4 @@
-//! The blocks that engines' prefix caches are believed to hold.
+//! Hints about the blocks in the prefix caches of engines.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,73 +6,73 @@
 
 use crate::placement::WorkerKey;
 
-/// The most engines whose caches are followed; the others are placed on without hints.
-const ENGINES_MAX: usize = 128;
+/// The maximum number of engines whose caches are tracked; there are no hints for the others.
+const MAX_ENGINES: usize = 128;
 
-/// The leading blocks that each followed engine is believed to hold.
-pub type HeldBlocks = [u32; ENGINES_MAX];
+/// For each tracked engine, the number of leading blocks that it probably caches.
+pub type CachedBlocks = [u32; MAX_ENGINES];
 
-/// `PrefixHints` tell which engines are believed to hold which blocks.
+/// `PrefixHints` track which engines probably cache which blocks.
 ///
-/// Cache events come late and with gaps, so a block may be missing here or long gone there. A
-/// wrong hint costs a recomputed prefix and nothing else.
+/// Cache events arrive late and some are lost, so a cached block may be missing here and an evicted
+/// one may still be listed. A wrong hint only costs a recomputed prefix.
 #[derive(Debug, Default)]
 pub struct PrefixHints {
-    /// For each block one bit for each engine.
+    /// For each block a bitmap of the engines that cache it.
     holders: HashMap<u64, u128>,
-    engines: SecondaryMap<WorkerKey, Followed>,
-    free: Vec<u32>,
-    used: u32,
+    engines: SecondaryMap<WorkerKey, TrackedEngine>,
+    free_bits: Vec<u32>,
+    used_bits: u32,
 }
 
-/// An engine whose cache is followed.
+/// An engine whose cache is tracked.
 #[derive(Debug)]
-struct Followed {
+struct TrackedEngine {
     bit: u32,
-    order: VecDeque<u64>,
+    insertion_order: VecDeque<u64>,
 }
 
 impl PrefixHints {
-    /// Notes that an engine holds a block; beyond `limit` blocks its oldest notes go first.
+    /// Records that an engine caches a block; beyond `limit` blocks its oldest entry is dropped.
     pub fn insert(&mut self, worker: WorkerKey, block: u64, limit: usize) {
-        let Some(bit) = self.follow(worker) else { return };
+        let Some(bit) = self.track(worker) else { return };
         let holders = self.holders.entry(block).or_default();
         if *holders & 1 << bit != 0 {
             return;
         }
         *holders |= 1 << bit;
         let Some(engine) = self.engines.get_mut(worker) else { return };
-        engine.order.push_back(block);
-        // Dropped blocks leave their place in the order, so both are bounded by the limit.
-        if limit < engine.order.len()
-            && let Some(oldest) = engine.order.pop_front()
+        engine.insertion_order.push_back(block);
+        // A removed block keeps its place in the insertion order, so the limit bounds both.
+        if limit < engine.insertion_order.len()
+            && let Some(oldest) = engine.insertion_order.pop_front()
         {
             self.clear(oldest, bit);
         }
     }
 
-    /// Notes that an engine no longer holds a block.
+    /// Records that an engine evicted a block.
     pub fn remove(&mut self, worker: WorkerKey, block: u64) {
         let Some(bit) = self.engines.get(worker).map(|engine| engine.bit) else { return };
         self.clear(block, bit);
     }
 
-    /// Drops all notes about an engine.
+    /// Removes an engine with all its hints.
     pub fn forget(&mut self, worker: WorkerKey) {
         let Some(engine) = self.engines.remove(worker) else { return };
-        for block in engine.order {
+        for block in engine.insertion_order {
             self.clear(block, engine.bit);
         }
-        self.free.push(engine.bit);
+        self.free_bits.push(engine.bit);
     }
 
-    /// Writes into `blocks_held` how many of the leading blocks each engine is believed to hold,
-    /// at the place that [`PrefixHints::place_of`] names.
+    /// Writes into `cached_blocks` how many of the leading blocks each engine probably caches, at
+    /// the index that [`PrefixHints::index_of`] returns.
     ///
-    /// A block's hash covers all before it, so the last block that an engine holds counts for all
-    /// of them: a lost event for an earlier one does no harm.
-    pub fn leading(&self, blocks: &[u64], blocks_held: &mut HeldBlocks) {
-        blocks_held.fill(0);
+    /// The hash of a block covers all blocks before it, so the last cached block implies the
+    /// earlier ones, and a lost event for one of these does no harm.
+    pub fn leading_blocks(&self, blocks: &[u64], cached_blocks: &mut CachedBlocks) {
+        cached_blocks.fill(0);
         let mut seen = 0;
         for (at, block) in blocks.iter().enumerate().rev() {
             let Some(holders) = self.holders.get(block) else { continue };
@@ -81,34 +81,34 @@
             while new != 0 {
                 let bit = new.trailing_zeros();
                 new &= new - 1;
-                blocks_held[bit as usize] = u32::try_from(at + 1).unwrap_or(u32::MAX);
+                cached_blocks[bit as usize] = u32::try_from(at + 1).unwrap_or(u32::MAX);
             }
         }
     }
 
-    /// Returns the place of an engine in the answers of [`PrefixHints::leading`].
-    pub fn place_of(&self, worker: WorkerKey) -> Option<usize> {
+    /// Returns the index of an engine in the output of [`PrefixHints::leading_blocks`].
+    pub fn index_of(&self, worker: WorkerKey) -> Option<usize> {
         self.engines.get(worker).map(|engine| engine.bit as usize)
     }
 
-    /// Returns an array that [`PrefixHints::leading`] can write into.
-    pub fn scratch() -> HeldBlocks {
-        [0; ENGINES_MAX]
+    /// Returns a buffer for [`PrefixHints::leading_blocks`].
+    pub fn scratch() -> CachedBlocks {
+        [0; MAX_ENGINES]
     }
 
-    fn follow(&mut self, worker: WorkerKey) -> Option<u32> {
+    fn track(&mut self, worker: WorkerKey) -> Option<u32> {
         if let Some(engine) = self.engines.get(worker) {
             return Some(engine.bit);
         }
-        let bit = match self.free.pop() {
+        let bit = match self.free_bits.pop() {
             Some(bit) => bit,
-            None if (self.used as usize) < ENGINES_MAX => {
-                self.used += 1;
-                self.used - 1
+            None if (self.used_bits as usize) < MAX_ENGINES => {
+                self.used_bits += 1;
+                self.used_bits - 1
             }
             None => return None,
         };
-        self.engines.insert(worker, Followed { bit, order: VecDeque::new() });
+        self.engines.insert(worker, TrackedEngine { bit, insertion_order: VecDeque::new() });
         Some(bit)
     }
 
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Choice of the engine that a request runs on.
+//! Placement: which engine a request runs on.
 
 mod baselines;
 mod hints;
@@ -23,18 +23,18 @@
 pub use subset::subset;
 pub use worker::{LoadReport, WorkerKey, WorkerRole, WorkerView};
 
-/// A `Placed` is a chosen engine.
+/// A `Placed` is the result of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placed {
-    /// The engine.
+    /// The chosen engine.
     pub worker: WorkerKey,
-    /// The prompt tokens that it is expected to compute.
+    /// The prompt tokens that the engine is expected to compute.
     pub to_compute: u32,
 }
 
 /// A `Placement` chooses an engine for a request.
 pub trait Placement: Send {
-    /// Returns the chosen engine; none if no engine takes new work.
+    /// Returns the chosen engine, or none if no engine accepts new work.
     fn place(
         &mut self,
         now: Stamp,
@@ -43,9 +43,9 @@
         random: &mut dyn Rng,
     ) -> Option<Placed>;
 
-    /// Notes that an engine's prefix cache took in a block or dropped it.
+    /// Records that an engine's prefix cache added or evicted a block.
     fn note_cache(&mut self, _worker: WorkerKey, _block: u64, _held: bool) {}
 
-    /// Drops everything known about an engine.
+    /// Removes all state of an engine.
     fn forget(&mut self, _worker: WorkerKey) {}
 }
--- a/crates/policy/src/placement/registry.rs
+++ b/crates/policy/src/placement/registry.rs
@@ -1,4 +1,4 @@
-//! The placements that can be chosen by name.
+//! The registry of placement policies.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,35 @@
     RoundRobin, TwoChoices,
 };
 
-/// A `PlacementDescriptor` describes one placement and how to make it.
+/// A `PlacementDescriptor` describes a placement policy and its constructor.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementDescriptor {
-    /// The name that it is chosen by.
+    /// The name in the configuration.
     pub name: &'static str,
-    /// What it does, in one line.
+    /// A one-line summary.
     pub summary: &'static str,
-    /// Makes one.
+    /// Creates an instance.
     pub make: fn(&PlacementOptions) -> Box<dyn Placement>,
 }
 
-/// A `PlacementRegistry` holds the placements that can be chosen by name.
+/// A `PlacementRegistry` holds the placement policies by name.
 #[derive(Clone, Debug)]
 pub struct PlacementRegistry {
     descriptors: BTreeMap<&'static str, PlacementDescriptor>,
 }
 
 impl PlacementRegistry {
-    /// Adds a placement; a later one with the same name takes the place of an earlier one.
+    /// Adds a placement policy; it replaces an earlier one with the same name.
     pub fn register(&mut self, descriptor: PlacementDescriptor) {
         self.descriptors.insert(descriptor.name, descriptor);
     }
 
-    /// Makes the placement of a name; none if there is no such placement.
+    /// Creates the placement policy with the given name, or none if the name is unknown.
     pub fn make(&self, name: &str, options: &PlacementOptions) -> Option<Box<dyn Placement>> {
         self.descriptors.get(name).map(|descriptor| (descriptor.make)(options))
     }
 
-    /// Returns the descriptors in the order of their names.
+    /// Returns the descriptors, sorted by name.
     pub fn descriptors(&self) -> impl Iterator<Item = &PlacementDescriptor> {
         self.descriptors.values()
     }
@@ -44,7 +44,7 @@
 impl Default for PlacementRegistry {
     fn default() -> Self {
         let mut registry = PlacementRegistry { descriptors: BTreeMap::new() };
-        let all: [PlacementDescriptor; 6] = [
+        let builtin: [PlacementDescriptor; 6] = [
             PlacementDescriptor {
                 name: "predicted",
                 summary: "the predicted first token, with prefix affinity, price and reclaims",
@@ -76,7 +76,7 @@
                 make: |_| Box::new(PrefixAffinity),
             },
         ];
-        for descriptor in all {
+        for descriptor in builtin {
             registry.register(descriptor);
         }
         registry
--- a/crates/policy/src/placement/request.rs
+++ b/crates/policy/src/placement/request.rs
@@ -1,36 +1,36 @@
-//! What has to be placed.
+//! The input of a placement.
 
 use crate::placement::{WorkerKey, WorkerRole};
 
-/// A `Stage` is the part of a request's work that is to be placed.
+/// A `Stage` is the stage of inference that is placed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
     /// The whole request.
     #[default]
     Whole,
-    /// Its prompt only.
+    /// The computation of the prompt only.
     Prefill,
-    /// The generation of tokens after the prompt was computed elsewhere.
+    /// The generation of tokens, after the prompt was computed on another engine.
     Decode,
 }
 
-/// A `PlacementRequest` is what has to be placed.
+/// A `PlacementRequest` is a request for an engine.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementRequest {
-    /// The hashes of the prompt's leading blocks, each covering all before it.
+    /// The hashes of the leading blocks of the prompt, each covering all blocks before it.
     pub prefix: Vec<u64>,
-    /// The tokens of the prompt and of what was emitted.
+    /// The tokens of the prompt, including output that was already emitted.
     pub prompt_tokens: u32,
     /// The estimated tokens of the answer.
     pub answer_tokens: u32,
-    /// The engines that failed for this request already.
+    /// The engines that already failed for this request.
     pub avoid: Vec<WorkerKey>,
-    /// The part of the work that is to be placed.
+    /// The stage that is placed.
     pub stage: Stage,
 }
 
 impl Stage {
-    /// Returns whether an engine of a role can do this part.
+    /// Returns whether an engine with the given role can run this stage.
     pub fn fits(self, role: WorkerRole) -> bool {
         match (self, role) {
             (_, WorkerRole::Both) => true,
--- a/crates/policy/src/placement/subset.rs
+++ b/crates/policy/src/placement/subset.rs
@@ -1,14 +1,14 @@
-//! The part of the engines that one node routes to.
+//! The subset of engines that one node routes to.
 
 use std::collections::BTreeMap;
 
 use crate::placement::rendezvous::mix;
 
-/// Returns the positions of the `size` engines that a node routes to, in rising order.
+/// Returns the indices of the `size` engines that a node routes to, in ascending order.
 ///
 /// Each engine is given as the hash of its name and the number of its availability zone. A node
-/// takes the engines that score highest for it, zone by zone in turn, so that its part lies in as
-/// many zones as the whole. An engine that comes or goes changes one place of few nodes' parts.
+/// takes the engines with the highest rendezvous scores from the zones in turn, so that its subset
+/// spans all zones. Adding or removing an engine changes one entry in the subsets of a few nodes.
 pub fn subset(node: u64, engines: &[(u64, usize)], size: usize) -> Vec<usize> {
     if engines.len() <= size {
         return (0..engines.len()).collect();
--- a/crates/policy/src/placement/worker.rs
+++ b/crates/policy/src/placement/worker.rs
@@ -1,4 +1,4 @@
-//! What a node believes of one engine.
+//! The view that a node has of one engine.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 slotmap::new_key_type! {
-    /// A `WorkerKey` names one backend server inside a node; it is never used twice.
+    /// A `WorkerKey` identifies a backend server within a node; it is never reused.
     pub struct WorkerKey;
 }
 
-/// A `WorkerRole` is the part of the work that an engine does.
+/// A `WorkerRole` is the set of inference stages that an engine runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkerRole {
@@ -23,66 +23,67 @@
     Decode,
 }
 
-/// A `LoadReport` is an engine's own count of its load.
+/// A `LoadReport` is the load that an engine reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// The requests in the batch.
+    /// The running requests, which are in the batch.
     pub running: u32,
-    /// The requests that wait for a place in the batch.
+    /// The requests that wait for a slot in the batch.
     pub waiting: u32,
-    /// The prompt tokens that wait to be computed.
+    /// The prompt tokens that are queued for computation.
     pub backlog: u32,
-    /// The time between two tokens of one answer.
+    /// The time of one decoding step, which is the time between two tokens of one answer.
     pub step: Duration,
-    /// When the counts were taken.
+    /// When the report was created.
     pub taken_at: Stamp,
 }
 
-/// A `WorkerView` is what a node believes of one engine.
+/// A `WorkerView` is the view that a node has of one engine.
 #[derive(Clone, Debug)]
 pub struct WorkerView {
     /// The engine.
     pub key: WorkerKey,
-    /// A hash of its VM's name, the same on all nodes.
+    /// A hash of the name of its VM, equal on all nodes.
     pub identity: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub open: bool,
-    /// The part of the work that it does.
+    /// The stages that it runs.
     pub role: WorkerRole,
-    /// The one-way latency to it.
+    /// The one-way network latency to it.
     pub network_latency: Duration,
-    /// The requests that its batch holds.
+    /// The number of slots in its batch.
     pub slots: u32,
-    /// The prompt tokens that it computes in a second while it generates too.
+    /// The prompt tokens that it computes per second while it also generates.
     pub prefill_per_second: u32,
-    /// The requests that this node has running there.
+    /// The outstanding requests from this node.
     pub outstanding: u32,
-    /// The estimated tokens that this node has running there.
+    /// The estimated tokens of the outstanding requests from this node.
     pub outstanding_tokens: u32,
-    /// The requests running there in the last report.
+    /// The running requests in the last report.
     pub reported_running: u32,
-    /// The requests waiting there in the last report.
+    /// The waiting requests in the last report.
     pub reported_waiting: u32,
-    /// The prompt tokens waiting there in the last report.
+    /// The queued prompt tokens in the last report.
     pub reported_backlog: u32,
-    /// When the last report was taken.
+    /// When the last report was created.
     pub reported_at: Stamp,
-    /// The requests that all nodes are taken to have started there since the last report, less
-    /// those that ended.
-    pub since_requests: i32,
-    /// The prompt tokens of this node that waited there at `pending_at`.
-    pub pending_prompt: u32,
-    /// When they were last worked out.
+    /// The estimated requests that all nodes started there since the last report, minus those that
+    /// ended.
+    pub unreported_requests: i32,
+    /// The prompt tokens from this node that were queued there at `pending_at`.
+    pub pending_prompt_tokens: u32,
+    /// When `pending_prompt_tokens` was last updated.
     pub pending_at: Stamp,
-    /// The time between two tokens there.
+    /// The time of one decoding step.
     pub step: Duration,
-    /// How many times the predicted time first tokens really took; 1 before any was seen.
+    /// The correction factor for the predicted time to first token, learned from actual ones; 1
+    /// initially.
     pub slowness: f32,
-    /// The price of an hour, in thousandths of a cent.
+    /// The price per hour, in thousandths of a cent.
     pub price: u64,
-    /// Whether its VM can be taken back.
+    /// Whether its VM can be reclaimed.
     pub reclaimable: bool,
-    /// The expected reclaims of its VM in an hour.
+    /// The expected reclaims of its VM per hour.
     pub reclaims_per_hour: f32,
 }
 
@@ -102,8 +103,8 @@
             reported_waiting: 0,
             reported_backlog: 0,
             reported_at: Stamp(0),
-            since_requests: 0,
-            pending_prompt: 0,
+            unreported_requests: 0,
+            pending_prompt_tokens: 0,
             pending_at: Stamp(0),
             step: Duration::from_millis(20),
             slowness: 1.0,
@@ -115,37 +116,39 @@
 }
 
 impl WorkerView {
-    /// Returns the estimated requests there now, those of other nodes included.
+    /// Returns the estimated number of requests there now, including those from other nodes.
     pub fn load(&self) -> u32 {
         let reported = self.reported_running + self.reported_waiting;
-        reported.saturating_add_signed(self.since_requests).max(self.outstanding)
+        reported.saturating_add_signed(self.unreported_requests).max(self.outstanding)
     }
 
-    /// Returns the estimated requests that other nodes have there.
+    /// Returns the estimated number of requests from other nodes.
     pub fn others(&self) -> u32 {
         self.load() - self.outstanding
     }
 
-    /// Returns the estimated prompt tokens that wait there now.
+    /// Returns the estimated prompt tokens that are queued there now.
     ///
-    /// A report is old when it comes. What it shows and what this node sent is taken to have been
-    /// computed at the usual rate since; it would otherwise count long after it was done.
+    /// A report is already old when it arrives. Both the reported tokens and those that this node
+    /// sent are assumed to be computed_since at the usual rate since then; otherwise they would
+    /// count long after they were done.
     pub fn backlog(&self, now: Stamp) -> u32 {
-        let reported = self.reported_backlog.saturating_sub(self.computed(now, self.reported_at));
-        reported + self.pending(now)
+        let reported =
+            self.reported_backlog.saturating_sub(self.computed_since(now, self.reported_at));
+        reported + self.pending_now(now)
     }
 
-    /// Adds prompt tokens that this node sends there now.
-    pub fn send(&mut self, now: Stamp, prompt: u32) {
-        self.pending_prompt = self.pending(now) + prompt;
+    /// Records prompt tokens that this node sends there now.
+    pub fn add_pending(&mut self, now: Stamp, prompt: u32) {
+        self.pending_prompt_tokens = self.pending_now(now) + prompt;
         self.pending_at = now;
     }
 
-    fn pending(&self, now: Stamp) -> u32 {
-        self.pending_prompt.saturating_sub(self.computed(now, self.pending_at))
+    fn pending_now(&self, now: Stamp) -> u32 {
+        self.pending_prompt_tokens.saturating_sub(self.computed_since(now, self.pending_at))
     }
 
-    fn computed(&self, now: Stamp, since: Stamp) -> u32 {
+    fn computed_since(&self, now: Stamp, since: Stamp) -> u32 {
         let tokens = now.since(since).as_secs_f64() * f64::from(self.prefill_per_second);
         tokens as u32
     }
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -1,14 +1,15 @@
-//! Hashes of a prompt's leading blocks, as engines name them in cache events.
+//! Hashes of the leading blocks of a prompt, by which engines identify blocks in cache events.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The tokens of one block.
+/// The number of tokens in a block.
 pub const BLOCK_TOKENS: usize = 16;
 
-/// Returns the hashes of the full blocks of a prompt, each covering all tokens before it.
+/// Returns the hashes of the full blocks of a prompt, each also covering all tokens before its
+/// block.
 ///
-/// A token is taken to be a word. Engines count finer tokens; the hashes then match no cache
-/// event and affinity rests on what this node placed itself.
+/// Words stand in for tokens. For an engine with a finer tokenizer the hashes match no cache
+/// events, and affinity relies on the placements of this node.
 pub fn block_hashes(prompt: &str) -> Vec<u64> {
     let mut hashes = Vec::new();
     let mut hash = 0;
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,4 +1,4 @@
-//! A team's limit over all nodes, held by each node from what the others told it.
+//! Limits of a team over all nodes, enforced by each node from the reports of the others.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,80 +6,83 @@
 
 use crate::decaying_sum::DecayingSum;
 
-/// The part of the burst that is enough for a request larger than the burst.
+/// The share of the burst that is enough to admit a request larger than the burst.
 ///
-/// A request larger than the bucket would otherwise never be taken; 0.9 leaves room for what other
-/// nodes take in the moment in which the bucket looks full.
+/// A request larger than the bucket would otherwise never be admitted. The rest allows for what
+/// other nodes take while the bucket looks full.
 const OVERSIZED_SHARE: f64 = 0.9;
-/// The part of what a window may hold at most that nodes plan with; the rest is for what they take
-/// between two exchanges. Teams that send four times their limit to five nodes, with restarts, stay
-/// 5 in 100 below what a window may hold.
+/// The share of the maximum usage of a window that nodes plan with; the rest is for usage between
+/// two gossip exchanges. With it, a team that sends four times its limit to five nodes, with
+/// restarts, stays 5 % below the maximum usage of a window.
 const PLANNED_SHARE: f64 = 0.88;
-/// The time after which other nodes have heard what a node took: an exchange of 250 ms, and half as
-/// much on its way.
-const TOLD_AFTER: Duration = Duration::from_millis(370);
-/// The time over which what a team asks for is averaged.
-const ASKED_OVER: Duration = Duration::from_secs(1);
-/// The part of the limit that is divided evenly, for nodes that a team begins to ask; the rest goes by
-/// what nodes are asked for.
+/// The time after which other nodes have received what a node took: a gossip interval of 250 ms,
+/// plus half as much for the transfer.
+const REPORT_DELAY: Duration = Duration::from_millis(370);
+/// The time constant of the average demand of a team.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
+/// The share of the limit that is divided evenly, for nodes that a team starts to use; the rest is
+/// divided in proportion to the demand at the nodes.
 const EVEN_SHARE: f64 = 0.1;
-/// The part of the spare of a window that may be taken before nodes hear of each other.
+/// The share of the spare usage of a window that may be taken before the other nodes receive
+/// reports of it.
 const SPARE_SHARE: f64 = 0.3;
-/// What the nodes' parts make together, of the limit: what nodes tell each other keeps to the limit, and
-/// parts alone would leave some of it unused.
-const PARTS: f64 = 1.15;
-/// How long a node's last word counts: four exchanges of 250 ms may be lost or late.
-const SILENT_AFTER: Duration = Duration::from_millis(1_000);
-
-/// A `QuotaLimit` is what a team may take over all nodes, in the unit that it is counted in.
+/// The sum of the parts of all nodes, relative to the limit. The reports keep total usage within
+/// the limit; with a sum of 1 some of the limit would stay unused.
+const PART_SUM: f64 = 1.15;
+/// The age at which the last report of a node expires; four gossip exchanges of 250 ms may be lost
+/// or late.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
+
+/// A `QuotaLimit` is the limit of a team over all nodes, in the unit of the quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaLimit {
-    /// How much comes back in a second; 0 means that there is no limit.
+    /// The refill rate per second; 0 means no limit.
     pub per_second: f64,
-    /// How much may be taken at once.
+    /// The capacity of the token bucket.
     pub burst: f64,
 }
 
-/// A `QuotaSlack` is by how much a limit may be exceeded over all nodes together.
+/// A `QuotaSlack` is the tolerance by which all nodes together may exceed a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaSlack {
-    /// The length of the sliding window in which it is judged.
+    /// The length of the sliding window in which usage is checked.
     pub window: Duration,
-    /// The part by which the limit of a window may be exceeded.
+    /// The relative amount by which the limit of a window may be exceeded.
     pub overage: f64,
-    /// What may be taken in a window besides.
+    /// The absolute amount that may be taken in a window in addition.
     pub headroom: f64,
 }
 
 impl QuotaLimit {
-    /// Returns what nodes let a team take, given the slack that its operators allow.
+    /// Returns the limit that nodes enforce, given the slack that operators allow.
     ///
-    /// Nodes know each other's takings a moment late, so a window holds more than they mean it to. What
-    /// they leave free for that is refused to the team below its limit, so it is as little as will do.
+    /// Nodes learn of each other's usage with a delay, so usage in a window exceeds the enforced
+    /// limit. The margin for that is as small as possible, since it is refused to a team below its
+    /// own limit.
     pub fn with_slack(self, slack: QuotaSlack) -> QuotaPlan {
         let window = slack.window.as_secs_f64();
         if self.per_second <= 0.0 || window <= 0.0 {
             return self.into();
         }
-        let of_window = self.per_second * window + self.burst;
-        let most = of_window * (1.0 + slack.overage) + slack.headroom;
-        let per_second = (most * PLANNED_SHARE - self.burst) / window;
+        let window_limit = self.per_second * window + self.burst;
+        let max_usage = window_limit * (1.0 + slack.overage) + slack.headroom;
+        let per_second = (max_usage * PLANNED_SHARE - self.burst) / window;
         let per_second = per_second.max(self.per_second);
-        let spare = (most - per_second * window - self.burst).max(0.0);
+        let spare = (max_usage - per_second * window - self.burst).max(0.0);
         QuotaPlan { limit: QuotaLimit { per_second, ..self }, spare }
     }
 
     fn part(self, share: f64) -> QuotaLimit {
-        QuotaLimit { per_second: self.per_second * share * PARTS, burst: self.burst * share }
+        QuotaLimit { per_second: self.per_second * share * PART_SUM, burst: self.burst * share }
     }
 }
 
-/// A `QuotaPlan` is what nodes let a team take.
+/// A `QuotaPlan` is the limit that nodes enforce for a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaPlan {
-    /// The limit that they hold it to.
+    /// The limit over all nodes.
     pub limit: QuotaLimit,
-    /// What a window may hold besides.
+    /// The amount that a window may hold in addition.
     pub spare: f64,
 }
 
@@ -89,60 +92,61 @@
     }
 }
 
-/// A `QuotaReport` is what a node tells others of a team.
+/// A `QuotaReport` is what a node reports to others about a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaReport {
-    /// What the team took there since the node's start.
+    /// The amount that the team took there since the start of the node.
     pub total: f64,
-    /// What the team asks for there in a second.
+    /// The amount per second that the team requests there.
     pub demand: f64,
 }
 
-/// A `Quota` is one team's bucket at one node.
+/// A `Quota` is the token bucket of one team at one node.
 ///
-/// What other nodes took is subtracted as they tell it. A node that is not heard may go on taking
-/// its equal part; so much is held back for it, so that the sum keeps to the limit also while
-/// nodes cannot hear each other.
+/// The usage at other nodes is subtracted when their reports are received. A silent node may still
+/// admit its equal part, which is withheld here, so that the sum stays within the limit also while
+/// nodes can't communicate.
 #[derive(Clone, Debug)]
 pub struct Quota {
     level: Option<f64>,
-    filled_at: Stamp,
-    own: f64,
-    peers: BTreeMap<Incarnation, Heard>,
-    asked: DecayingSum,
-    reserve: f64,
-    /// What was taken at other nodes since they were first heard, by who told it.
-    taken: TakenElsewhere,
+    refilled_at: Stamp,
+    local_total: f64,
+    peers: BTreeMap<Incarnation, PeerUsage>,
+    demand: DecayingSum,
+    /// The token bucket of this node's part of the limit.
+    part_level: f64,
+    /// What was taken at other nodes since their first report, by the kind of reporter.
+    remote_usage: RemoteUsage,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    told: QuotaReport,
-    at: Stamp,
-    /// What of it was subtracted here.
-    taken: f64,
-    teller: Teller,
+struct PeerUsage {
+    report: QuotaReport,
+    received_at: Stamp,
+    /// The amount that was subtracted here.
+    subtracted: f64,
+    reporter: Reporter,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct TakenElsewhere {
-    by_nodes: f64,
-    by_sums: f64,
+struct RemoteUsage {
+    from_nodes: f64,
+    from_relays: f64,
 }
 
-/// Who tells what a team took.
+/// The kind of node that reports usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Teller {
+enum Reporter {
     Node,
-    /// A relay, for so many nodes.
-    Sum(u32),
+    /// A relay, with the number of nodes that its report sums up.
+    Relay(u32),
 }
 
-impl Teller {
+impl Reporter {
     fn nodes(self) -> usize {
         match self {
-            Teller::Node => 1,
-            Teller::Sum(nodes) => nodes as usize,
+            Reporter::Node => 1,
+            Reporter::Relay(nodes) => nodes as usize,
         }
     }
 }
@@ -151,28 +155,29 @@
     fn default() -> Self {
         Quota {
             level: None,
-            filled_at: Stamp::default(),
-            own: 0.0,
+            refilled_at: Stamp::default(),
+            local_total: 0.0,
             peers: BTreeMap::new(),
-            asked: DecayingSum::new(ASKED_OVER),
-            reserve: 0.0,
-            taken: TakenElsewhere::default(),
+            demand: DecayingSum::new(DEMAND_TIME_CONSTANT),
+            part_level: 0.0,
+            remote_usage: RemoteUsage::default(),
         }
     }
 }
 
 impl Quota {
-    /// Returns the bucket of a node that started at `now` while the limit was already in use.
+    /// Returns an empty bucket, for a node that started at `now` while the limit was already in
+    /// use.
     ///
-    /// It is empty: what was taken before is not known. Full buckets would let a team take its burst
-    /// once more at each node with every restart, and all nodes may restart at once.
+    /// The earlier usage is unknown. With a full bucket, a team could take its burst again at each
+    /// node with every restart, and all nodes may restart at once.
     pub fn empty(now: Stamp) -> Quota {
-        Quota { level: Some(0.0), filled_at: now, ..Quota::default() }
+        Quota { level: Some(0.0), refilled_at: now, ..Quota::default() }
     }
 
-    /// Takes `amount`, or tells when to come back.
+    /// Takes `amount`, or returns the retry delay as an error.
     ///
-    /// `nodes` counts all nodes, this one included.
+    /// `nodes` is the number of all nodes, including this one.
     pub fn take(
         &mut self,
         now: Stamp,
@@ -183,141 +188,145 @@
         let QuotaPlan { limit, spare } = plan.into();
         if limit.per_second <= 0.0 {
             self.level = None;
-            self.own += amount;
+            self.local_total += amount;
             return Ok(());
         }
-        self.asked.add(now, amount);
-        let demand = self.demand(now, nodes);
-        self.refill(now, limit, nodes, demand.share);
+        self.demand.add(now, amount);
+        let team_demand = self.team_demand(now, nodes);
+        self.refill(now, limit, nodes, team_demand.share);
         let level = self.level.unwrap_or(limit.burst);
-        wait_for(amount, level, limit)?;
-        // All nodes see the bucket fill up at the same moment. Where a team asks for more than it holds
-        // before they hear of each other, each keeps to its part: together they would take several
-        // buckets, and a window would hold more than it may.
-        let asked_unheard = demand.per_second * TOLD_AFTER.as_secs_f64();
-        if level + spare * SPARE_SHARE < asked_unheard {
-            wait_for(amount, self.reserve, limit.part(demand.share))?;
+        check_level(amount, level, limit)?;
+        // All nodes see the bucket refill at the same moment. If a team requests more than the
+        // bucket holds before reports are received, each node is limited to its part. Otherwise the
+        // nodes would together take the bucket several times and exceed the limit of a window.
+        let unreported_demand = team_demand.per_second * REPORT_DELAY.as_secs_f64();
+        if level + spare * SPARE_SHARE < unreported_demand {
+            check_level(amount, self.part_level, limit.part(team_demand.share))?;
         }
-        self.reserve = (self.reserve - amount).max(-amount);
+        self.part_level = (self.part_level - amount).max(-amount);
         self.level = Some(level - amount);
-        self.own += amount;
+        self.local_total += amount;
         Ok(())
     }
 
-    /// Gives back what a request took that did not run.
+    /// Returns the amount of a request that did not run to the bucket.
     pub fn refund(&mut self, amount: f64) {
-        self.own -= amount;
+        self.local_total -= amount;
         self.level = self.level.map(|level| level + amount);
-        self.reserve += amount;
+        self.part_level += amount;
     }
 
-    /// Returns what this node took since its start, to be told to others.
-    pub fn own(&self) -> f64 {
-        self.own
+    /// Returns the amount taken at this node since its start.
+    pub fn local_total(&self) -> f64 {
+        self.local_total
     }
 
-    /// Returns what this node alone took, to be told to others.
+    /// Returns the report of this node's own usage.
     pub fn report(&self, now: Stamp) -> QuotaReport {
-        QuotaReport { total: self.own, demand: self.asked.rate(now) }
+        QuotaReport { total: self.local_total, demand: self.demand.rate(now) }
     }
 
-    /// Returns what was taken here and at the nodes that tell this one themselves, to be told to relays of
-    /// other zones.
+    /// Returns the report of the usage here and at the nodes that report directly to this one, for
+    /// relays of other zones.
     pub fn zone_report(&self, now: Stamp) -> QuotaReport {
-        let asked = self.asked.rate(now) + self.heard_asked(now, |_, heard| heard.is_node());
-        QuotaReport { total: self.own + self.taken.by_nodes, demand: asked }
+        let demand = self.demand.rate(now) + self.peer_demand(now, |_, usage| usage.is_node());
+        QuotaReport { total: self.local_total + self.remote_usage.from_nodes, demand }
     }
 
-    /// Returns what was taken at all nodes but `asker`, to be told to that one.
-    pub fn report_excluding(&self, now: Stamp, asker: Incarnation) -> QuotaReport {
-        let of_asker = self.peers.get(&asker).map_or(0.0, |heard| heard.taken);
-        let taken = self.taken.by_nodes + self.taken.by_sums - of_asker;
-        let asked = self.asked.rate(now) + self.heard_asked(now, |peer, _| peer != asker);
-        QuotaReport { total: self.own + taken, demand: asked }
+    /// Returns the report of the usage at all nodes except `receiver`, for that node.
+    pub fn report_excluding(&self, now: Stamp, receiver: Incarnation) -> QuotaReport {
+        let from_receiver = self.peers.get(&receiver).map_or(0.0, |usage| usage.subtracted);
+        let remote = self.remote_usage.from_nodes + self.remote_usage.from_relays - from_receiver;
+        let demand = self.demand.rate(now) + self.peer_demand(now, |peer, _| peer != receiver);
+        QuotaReport { total: self.local_total + remote, demand }
     }
 
-    /// Notes what another node took since its start.
-    pub fn receive(&mut self, now: Stamp, peer: Incarnation, told: QuotaReport) {
-        self.note(now, peer, told, Teller::Node);
+    /// Receives the report of another node.
+    pub fn receive(&mut self, now: Stamp, peer: Incarnation, report: QuotaReport) {
+        self.update(now, peer, report, Reporter::Node);
     }
 
-    /// Notes what `nodes` nodes took, as the relay `peer` sums it up.
-    pub fn receive_sum(&mut self, now: Stamp, peer: Incarnation, told: QuotaReport, nodes: u32) {
-        self.note(now, peer, told, Teller::Sum(nodes));
+    /// Receives the report of the relay `peer`, which sums up the usage of `nodes` nodes.
+    pub fn receive_sum(&mut self, now: Stamp, peer: Incarnation, report: QuotaReport, nodes: u32) {
+        self.update(now, peer, report, Reporter::Relay(nodes));
     }
 
-    fn note(&mut self, now: Stamp, peer: Incarnation, told: QuotaReport, teller: Teller) {
-        // What a node took before this one knew it has been filled up again or was counted by
-        // the burst that this node did not take at its start.
+    fn update(&mut self, now: Stamp, peer: Incarnation, report: QuotaReport, reporter: Reporter) {
+        // What a peer took before its first report has been refilled already, or is covered by the
+        // burst that this node did not grant at its start.
         let known =
-            self.peers.get(&peer).filter(|known| known.is_node() == (teller == Teller::Node));
-        let before = known.map_or(0.0, |known| known.taken);
-        let taken = known.map_or(0.0, |known| told.total - known.told.total);
-        self.peers.insert(peer, Heard { told, at: now, taken: before + taken, teller });
-        match teller {
-            Teller::Node => self.taken.by_nodes += taken,
-            Teller::Sum(_) => self.taken.by_sums += taken,
+            self.peers.get(&peer).filter(|known| known.is_node() == (reporter == Reporter::Node));
+        let before = known.map_or(0.0, |known| known.subtracted);
+        let taken = known.map_or(0.0, |known| report.total - known.report.total);
+        self.peers.insert(
+            peer,
+            PeerUsage { report, received_at: now, subtracted: before + taken, reporter },
+        );
+        match reporter {
+            Reporter::Node => self.remote_usage.from_nodes += taken,
+            Reporter::Relay(_) => self.remote_usage.from_relays += taken,
         }
         self.level = self.level.map(|level| level - taken);
     }
 
-    /// Drops what is known of nodes that are gone.
-    pub fn retain(&mut self, mut alive: impl FnMut(Incarnation) -> bool) {
-        self.peers.retain(|peer, _| alive(*peer));
+    /// Removes the peers for which `is_alive` returns false.
+    pub fn retain(&mut self, mut is_alive: impl FnMut(Incarnation) -> bool) {
+        self.peers.retain(|peer, _| is_alive(*peer));
     }
 
-    fn demand(&self, now: Stamp, nodes: usize) -> Demand {
-        let own = self.asked.rate(now);
-        let others = self.heard_asked(now, |_, _| true);
+    fn team_demand(&self, now: Stamp, nodes: usize) -> TeamDemand {
+        let own = self.demand.rate(now);
+        let others = self.peer_demand(now, |_, _| true);
         let even = 1.0 / nodes.max(1) as f64;
-        let asked = if own <= 0.0 { 0.0 } else { own / (own + others) };
-        let share = EVEN_SHARE * even + (1.0 - EVEN_SHARE) * asked;
-        Demand { per_second: own + others, share }
+        let own_share = if own <= 0.0 { 0.0 } else { own / (own + others) };
+        let share = EVEN_SHARE * even + (1.0 - EVEN_SHARE) * own_share;
+        TeamDemand { per_second: own + others, share }
     }
 
-    fn heard_asked(&self, now: Stamp, counts: impl Fn(Incarnation, &Heard) -> bool) -> f64 {
-        let mut asked = 0.0;
-        for (peer, heard) in &self.peers {
-            if heard.is_fresh(now) && counts(*peer, heard) {
-                asked += heard.told.demand;
+    fn peer_demand(&self, now: Stamp, is_counted: impl Fn(Incarnation, &PeerUsage) -> bool) -> f64 {
+        let mut demand = 0.0;
+        for (peer, usage) in &self.peers {
+            if usage.is_fresh(now) && is_counted(*peer, usage) {
+                demand += usage.report.demand;
             }
         }
-        asked
+        demand
     }
 
     fn refill(&mut self, now: Stamp, limit: QuotaLimit, nodes: usize, share: f64) {
-        let passed = now.since(self.filled_at).as_secs_f64();
-        self.filled_at = now;
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
         let part = limit.part(share);
         let Some(level) = self.level else {
             self.level = Some(limit.burst);
-            self.reserve = part.burst;
+            self.part_level = part.burst;
             return;
         };
-        let heard = self.peers.values().filter(|heard| heard.is_fresh(now));
-        let heard: usize = heard.map(|heard| heard.teller.nodes()).sum();
+        let fresh = self.peers.values().filter(|usage| usage.is_fresh(now));
+        let fresh: usize = fresh.map(|usage| usage.reporter.nodes()).sum();
         let nodes = nodes.max(1);
-        let silent = (nodes - 1).saturating_sub(heard);
-        let counted = 1.0 - silent as f64 / nodes as f64;
-        let passed = passed * counted;
-        // Nodes that don't hear each other have a bucket on each side; together they hold one burst.
-        self.level = Some((level + passed * limit.per_second).min(limit.burst * counted));
-        self.reserve = (self.reserve + passed * part.per_second).min(part.burst);
+        let silent = (nodes - 1).saturating_sub(fresh);
+        let active_share = 1.0 - silent as f64 / nodes as f64;
+        let elapsed = elapsed * active_share;
+        // Each side of a network partition has its own bucket; together the buckets hold one burst.
+        self.level = Some((level + elapsed * limit.per_second).min(limit.burst * active_share));
+        self.part_level = (self.part_level + elapsed * part.per_second).min(part.burst);
     }
 }
 
-impl Heard {
+impl PeerUsage {
     fn is_node(&self) -> bool {
-        self.teller == Teller::Node
+        self.reporter == Reporter::Node
     }
 
     fn is_fresh(&self, now: Stamp) -> bool {
-        now.since(self.at) < SILENT_AFTER
+        now.since(self.received_at) < REPORT_TIMEOUT
     }
 }
 
-// Tells when a bucket that is at `level` holds enough for `amount`, if it does not.
-fn wait_for(amount: f64, level: f64, limit: QuotaLimit) -> Result<(), Duration> {
+// Checks that a bucket at `level` holds enough for `amount`; returns the time until it does as an
+// error.
+fn check_level(amount: f64, level: f64, limit: QuotaLimit) -> Result<(), Duration> {
     let needed = amount.min(limit.burst * OVERSIZED_SHARE);
     if needed <= level {
         return Ok(());
@@ -325,9 +334,10 @@
     Err(Duration::from_secs_f64((needed - level) / limit.per_second))
 }
 
-/// What a team asks for in a second at all nodes that are heard, and this node's share of the limit.
+/// The demand of a team per second at all nodes with fresh reports, and this node's share of the
+/// limit.
 #[derive(Clone, Copy, Debug)]
-struct Demand {
+struct TeamDemand {
     per_second: f64,
     share: f64,
 }
--- a/crates/policy/src/recent_parts.rs
+++ b/crates/policy/src/recent_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of prompts that a node sent to one engine lately, for telling other nodes.
+//! The prompt parts that a node recently sent to one engine, for gossip to other nodes.
 
 use std::{
     collections::{HashSet, VecDeque},
@@ -9,14 +9,15 @@
 
 use crate::parts::PromptPart;
 
-/// How long a part that is sent again is not told anew: others know it already, and when it was used last
-/// only rules which part yields first.
-const TOLD_ANEW_AFTER: Duration = Duration::from_secs(2);
+/// How long a part that is sent again is not advertised again: other nodes already know it, and its
+/// last use only affects the order of eviction.
+const READVERTISE_AFTER: Duration = Duration::from_secs(2);
 
-/// `RecentParts` are the parts of prompts that were sent to one engine lately.
+/// `RecentParts` are the prompt parts that were recently sent to one engine.
 ///
-/// A node alone sees only its callers' share of what an engine reads. Without the others' word, each
-/// node sends a shared part to an engine of its own choice, where it is read again.
+/// A node sees only its own callers' share of the prompts of an engine. Without updates from the
+/// other nodes, each node would send a shared part to a different engine, which would compute it
+/// again.
 #[derive(Clone, Debug, Default)]
 pub struct RecentParts {
     sent: VecDeque<(Stamp, PromptPart)>,
@@ -24,9 +25,9 @@
 }
 
 impl RecentParts {
-    /// Notes the parts of a prompt that is sent now.
+    /// Records the parts of a prompt that is sent now.
     pub fn note(&mut self, now: Stamp, parts: &[PromptPart]) {
-        self.forget(now);
+        self.remove_expired(now);
         for part in parts {
             if self.ids.insert(part.id) {
                 self.sent.push_back((now, *part));
@@ -34,16 +35,16 @@
         }
     }
 
-    /// Returns each part that was first sent within the last `told_for`.
-    pub fn updates(&mut self, now: Stamp, told_for: Duration) -> Vec<PromptPart> {
-        self.forget(now);
-        let newest = self.sent.iter().rev().take_while(|(at, _)| now.since(*at) < told_for);
+    /// Returns the parts to advertise: those first sent within the last `advertised_for`.
+    pub fn updates(&mut self, now: Stamp, advertised_for: Duration) -> Vec<PromptPart> {
+        self.remove_expired(now);
+        let newest = self.sent.iter().rev().take_while(|(at, _)| now.since(*at) < advertised_for);
         newest.map(|(_, part)| *part).collect()
     }
 
-    fn forget(&mut self, now: Stamp) {
+    fn remove_expired(&mut self, now: Stamp) {
         while let Some((at, part)) = self.sent.front()
-            && TOLD_ANEW_AFTER <= now.since(*at)
+            && READVERTISE_AFTER <= now.since(*at)
         {
             self.ids.remove(&part.id);
             self.sent.pop_front();
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -1,19 +1,20 @@
-//! What to do with the requests of an engine whose VM is taken back.
+//! The handling of requests on an engine whose VM is reclaimed.
 
 use std::time::Duration;
 
-/// `MoveOptions` are what moving and computing again cost.
+/// `MoveOptions` are the costs of moving and of recomputing requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MoveOptions {
-    /// The bytes of KV cache for one token.
+    /// The KV cache size of a token, in bytes.
     pub bytes_per_token: u64,
-    /// The bytes of KV cache that one engine can move in a second.
+    /// The KV cache transfer rate of an engine, in bytes per second.
     pub bytes_per_second: u64,
-    /// The tokens that an engine computes again in a second while it generates too.
+    /// The tokens that an engine recomputes per second while it also generates.
     pub recompute_per_second: u32,
-    /// The weight of recomputed tokens; at 1 a second of moving is worth one of computing.
+    /// The weight of recomputed tokens; at 1 a second of transfer costs as much as a second of
+    /// computing.
     pub recomputed: f64,
-    /// The part of the notice that is kept free for what goes wrong.
+    /// The share of the notice period that is kept as a safety margin.
     pub safety: f64,
 }
 
@@ -29,48 +30,49 @@
     }
 }
 
-/// A `RunningRequest` is one request on the engine.
+/// A `RunningRequest` is a request that runs on the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunningRequest<K> {
-    /// The request.
+    /// The key of the request.
     pub key: K,
-    /// The tokens of its prompt and of what was emitted.
+    /// The tokens of the prompt and of the emitted output.
     pub tokens: u32,
-    /// Those of them that the engine it would go to holds already.
+    /// Those of the tokens that the target engine already caches.
     pub cached_at_target: u32,
-    /// The time that its answer still takes here, at most.
+    /// The maximum time that its answer still takes here.
     pub remaining: Duration,
 }
 
-/// A `MoveDecision` is what happens to a request of an engine that is taken back.
+/// A `MoveDecision` is what happens to a request when its engine is reclaimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveDecision {
-    /// It ends here within the notice.
+    /// It finishes here within the notice period.
     Finish,
-    /// Its KV cache is moved; the span is from the notice to the end of the move.
+    /// Its KV cache is moved; the duration is from the notice to the end of the move.
     Move(Duration),
-    /// It goes on elsewhere and what is missing there is computed again.
+    /// It resumes on another engine, which recomputes the missing tokens.
     Resume,
 }
 
-/// Returns the fate of each request, in the order in which moves are to be made.
+/// Returns the decision for each request, in the order in which the moves are to be made.
 ///
-/// Requests that end within the notice stay. Of the others those go first whose move saves most
-/// computing for each byte, as long as moving takes less than computing and the notice lasts.
+/// Requests that finish within the notice period stay. The others are moved in descending order of
+/// the recomputation saved per byte, while a move is cheaper than the recomputation and the notice
+/// period suffices.
 pub fn plan_moves<K: Copy + Ord>(
     notice: Duration,
     running: &[RunningRequest<K>],
     options: &MoveOptions,
 ) -> Vec<(K, MoveDecision)> {
-    let usable = notice.mul_f64(1.0 - options.safety);
+    let usable_notice = notice.mul_f64(1.0 - options.safety);
     let mut plan = Vec::with_capacity(running.len());
     let mut to_move = Vec::new();
-    for one in running {
-        if one.remaining <= usable {
-            plan.push((one.key, MoveDecision::Finish));
+    for request in running {
+        if request.remaining <= usable_notice {
+            plan.push((request.key, MoveDecision::Finish));
             continue;
         }
-        to_move.push(one);
+        to_move.push(request);
     }
     to_move.sort_by(|a, b| {
         saved_per_token(b)
@@ -78,24 +80,24 @@
             .then(a.tokens.cmp(&b.tokens))
             .then(a.key.cmp(&b.key))
     });
-    let mut spent = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     let first_move = plan.len();
-    for one in to_move {
-        let move_time = options.move_time(one.tokens);
-        let saved = options.recompute_time(one.tokens.saturating_sub(one.cached_at_target));
-        let worth = move_time.as_secs_f64() < saved.as_secs_f64() * options.recomputed;
-        if !worth || usable < spent + move_time {
-            plan.push((one.key, MoveDecision::Resume));
+    for request in to_move {
+        let move_time = options.move_time(request.tokens);
+        let saved = options.recompute_time(request.tokens.saturating_sub(request.cached_at_target));
+        let is_worthwhile = move_time.as_secs_f64() < saved.as_secs_f64() * options.recomputed;
+        if !is_worthwhile || usable_notice < elapsed + move_time {
+            plan.push((request.key, MoveDecision::Resume));
             continue;
         }
-        spent += move_time;
-        plan.push((one.key, MoveDecision::Move(spent)));
+        elapsed += move_time;
+        plan.push((request.key, MoveDecision::Move(elapsed)));
     }
-    // Moves are made as late as the notice allows: many answers are shorter than they may be and
-    // end by themselves meanwhile, and each move costs the tokens of its last, unfinished block.
-    for (_, fate) in &mut plan[first_move..] {
-        if let MoveDecision::Move(end) = fate {
-            *end += usable - spent;
+    // Moves are made as late as the notice period allows: many answers end before their maximum
+    // length and need no move then, and each move loses the tokens of its last, incomplete block.
+    for (_, decision) in &mut plan[first_move..] {
+        if let MoveDecision::Move(end) = decision {
+            *end += usable_notice - elapsed;
         }
     }
     plan
@@ -112,6 +114,7 @@
     }
 }
 
-fn saved_per_token<K>(one: &RunningRequest<K>) -> f64 {
-    f64::from(one.tokens.saturating_sub(one.cached_at_target)) / f64::from(one.tokens.max(1))
+fn saved_per_token<K>(request: &RunningRequest<K>) -> f64 {
+    f64::from(request.tokens.saturating_sub(request.cached_at_target))
+        / f64::from(request.tokens.max(1))
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,103 +1,104 @@
-//! Budgets for retries and hedges.
+//! Retry budgets and hedged requests.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use bulrushhall_core::{Ran, ServiceName, TeamName};
 use rand::{Rng, RngExt};
 
-/// The part by which a latency estimate moves with each measurement.
+/// The maximum relative change of a latency estimate per sample.
 const ESTIMATE_STEP: f64 = 0.1;
 
-/// `RetryOptions` bound retries and hedges.
+/// `RetryOptions` are the limits on retries and hedged requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryOptions {
-    /// The retries and hedges that each first attempt earns its service and its team.
+    /// The retries or hedged requests that each first attempt adds to the budgets of its service
+    /// and its team.
     pub ratio: f64,
-    /// The retries and hedges that may be saved up.
-    pub saved: f64,
-    /// The most attempts of one request, over all nodes.
-    pub attempts: u32,
-    /// The pause before the first retry, before jitter; it doubles with each further one.
-    pub pause: Duration,
-    /// The longest pause before jitter.
-    pub pause_max: Duration,
-    /// The part of lookups that are answered before a hedge is sent.
-    pub hedge_after: f64,
+    /// The maximum balance of a budget.
+    pub max_balance: f64,
+    /// The maximum number of attempts of one request, over all nodes.
+    pub max_attempts: u32,
+    /// The backoff before the first retry, without jitter; it doubles with each further retry.
+    pub initial_backoff: Duration,
+    /// The maximum backoff, without jitter.
+    pub max_backoff: Duration,
+    /// The latency quantile of lookups after which a hedged request is sent.
+    pub hedge_quantile: f64,
 }
 
 impl Default for RetryOptions {
     fn default() -> Self {
         RetryOptions {
             ratio: 0.1,
-            saved: 10.0,
-            attempts: 3,
-            pause: Duration::from_millis(50),
-            pause_max: Duration::from_secs(2),
-            hedge_after: 0.95,
+            max_balance: 10.0,
+            max_attempts: 3,
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_secs(2),
+            hedge_quantile: 0.95,
         }
     }
 }
 
-/// A `Repeat` tells whether a call may run more than once.
+/// An `Idempotency` is whether a call may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    /// Running it again changes nothing.
+pub enum Idempotency {
+    /// It may run any number of times with the same effect.
     Idempotent,
     /// It may run at most once.
     AtMostOnce,
 }
 
-/// An `Obligation` tells whether the caller was promised an answer.
+/// An `Obligation` is whether the caller was promised an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Obligation {
-    /// The call may be given up.
+    /// The call may fail.
     Free,
-    /// The request was accepted and has to be finished.
+    /// The request was accepted and has to be completed.
     Accepted,
 }
 
-/// A `FailedAttempt` is what a decision on a retry rests on.
+/// A `FailedAttempt` is the input to a retry decision.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt {
-    /// Whether a backend server may have run it, over all attempts.
+    /// Whether a backend server may have run the call in any attempt.
     pub ran: Ran,
     /// Whether it may run more than once.
-    pub repeat: Repeat,
-    /// Whether it has to be finished.
+    pub idempotency: Idempotency,
+    /// Whether it has to be completed.
     pub obligation: Obligation,
-    /// The attempts so far, over all nodes.
+    /// The number of attempts so far, over all nodes.
     pub attempts: u32,
-    /// The time that is left until its deadline.
-    pub left: Duration,
+    /// The time left until the deadline.
+    pub time_left: Duration,
 }
 
-/// A `RetryDecision` tells what to do after a failed attempt.
+/// A `RetryDecision` is what to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again after the pause.
+    /// Retry after the backoff.
     After(Duration),
-    /// Give up at once.
+    /// Make no further attempt.
     GiveUp(GiveUp),
 }
 
-/// A `GiveUp` is the reason for no further attempt.
+/// A `GiveUp` is the reason why no further attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUp {
-    /// It may have run, and it may not run again.
+    /// The call may have run and must not run again.
     MayHaveRun,
-    /// It had as many attempts as one request may have.
+    /// The maximum number of attempts is reached.
     Attempts,
-    /// The budget of the service or of the team is spent.
+    /// The retry budget of the service or the team is exhausted.
     Budget,
     /// The deadline would pass before the next attempt.
     Deadline,
 }
 
-/// A `RetryBudget` keeps retries and hedges to a small part of first attempts.
+/// A `RetryBudget` limits retries and hedged requests to a small ratio of first attempts.
 ///
-/// While a backend is down each call fails, and retries without a bound multiply the load just
-/// when it can least be carried. Here retries are paid for by first attempts, so the load rises
-/// by the ratio and no more, whatever fails.
+/// While a backend is down every call fails, and unlimited retries would multiply the load when
+/// capacity is lowest. Here first attempts earn the budget for retries, so the load rises at most
+/// by the ratio.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     options: RetryOptions,
@@ -107,21 +108,21 @@
 }
 
 impl RetryBudget {
-    /// Returns a budget in which nothing is saved up.
+    /// Returns a budget with a balance of zero.
     pub fn new(options: RetryOptions) -> RetryBudget {
         RetryBudget { options, ..RetryBudget::default() }
     }
 
-    /// Notes the first attempt of a call.
-    pub fn note_first(&mut self, service: &ServiceName, team: &TeamName) {
-        let RetryOptions { ratio, saved, .. } = self.options;
+    /// Records the first attempt of a call.
+    pub fn record_first_attempt(&mut self, service: &ServiceName, team: &TeamName) {
+        let RetryOptions { ratio, max_balance, .. } = self.options;
         let of_service = self.services.entry(service.clone()).or_default();
-        *of_service = (*of_service + ratio).min(saved);
+        *of_service = (*of_service + ratio).min(max_balance);
         let of_team = self.teams.entry((service.clone(), team.clone())).or_default();
-        *of_team = (*of_team + ratio).min(saved);
+        *of_team = (*of_team + ratio).min(max_balance);
     }
 
-    /// Decides what follows a failed attempt, and pays for the next one.
+    /// Decides on a retry after a failed attempt and charges the budgets for it.
     pub fn after_failure(
         &mut self,
         service: &ServiceName,
@@ -129,54 +130,54 @@
         failed: FailedAttempt,
         random: &mut dyn Rng,
     ) -> RetryDecision {
-        if failed.repeat == Repeat::AtMostOnce && failed.ran != Ran::No {
+        if failed.idempotency == Idempotency::AtMostOnce && failed.ran != Ran::No {
             return RetryDecision::GiveUp(GiveUp::MayHaveRun);
         }
-        let pause = self.pause(failed.attempts, random);
-        if failed.left <= pause {
+        let backoff = self.backoff(failed.attempts, random);
+        if failed.time_left <= backoff {
             return RetryDecision::GiveUp(GiveUp::Deadline);
         }
         if failed.obligation == Obligation::Accepted {
-            // A promised answer is not given up for a budget. With the budget spent it goes on
-            // at the slowest pace, so that promised answers can't multiply the load either.
-            let paid = self.pay(service, team);
-            let slowest = self.options.pause_max.mul_f64(random.random_range(0.5..1.5));
-            let pause = if paid { pause } else { slowest.min(failed.left / 2) };
-            return RetryDecision::After(pause);
+            // A promised answer is retried even without budget, but then with the maximum backoff,
+            // so that promised answers can't multiply the load either.
+            let has_budget = self.try_spend(service, team);
+            let max_backoff = self.options.max_backoff.mul_f64(random.random_range(0.5..1.5));
+            let backoff = if has_budget { backoff } else { max_backoff.min(failed.time_left / 2) };
+            return RetryDecision::After(backoff);
         }
-        if self.options.attempts <= failed.attempts {
+        if self.options.max_attempts <= failed.attempts {
             return RetryDecision::GiveUp(GiveUp::Attempts);
         }
-        if !self.pay(service, team) {
+        if !self.try_spend(service, team) {
             return RetryDecision::GiveUp(GiveUp::Budget);
         }
-        RetryDecision::After(pause)
+        RetryDecision::After(backoff)
     }
 
-    /// Notes how long a lookup took.
-    pub fn note_latency(&mut self, service: &ServiceName, took: Duration) {
+    /// Records the latency of a lookup.
+    pub fn record_latency(&mut self, service: &ServiceName, took: Duration) {
         let took = took.as_secs_f64();
         let estimate = self.latencies.entry(service.clone()).or_insert(took);
-        let towards = match *estimate < took {
-            true => self.options.hedge_after,
-            false => self.options.hedge_after - 1.0,
+        let direction = match *estimate < took {
+            true => self.options.hedge_quantile,
+            false => self.options.hedge_quantile - 1.0,
         };
-        // Steps are parts of the estimate, so that one very slow lookup moves it no further than
-        // any other slow one.
-        *estimate *= 1.0 + ESTIMATE_STEP * towards;
+        // This is a stochastic quantile estimate. Steps are relative to the estimate, so that one
+        // very slow lookup moves it no further than any other slow one.
+        *estimate *= 1.0 + ESTIMATE_STEP * direction;
     }
 
-    /// Returns how long to wait for a lookup before a second one is sent; none before any
-    /// latency is known and for calls that may run at most once.
-    pub fn hedge_after(&self, service: &ServiceName, repeat: Repeat) -> Option<Duration> {
-        if repeat == Repeat::AtMostOnce {
+    /// Returns the time after which a hedged request is sent; none before the first latency sample
+    /// and for calls that may run at most once.
+    pub fn hedge_after(&self, service: &ServiceName, idempotency: Idempotency) -> Option<Duration> {
+        if idempotency == Idempotency::AtMostOnce {
             return None;
         }
         self.latencies.get(service).map(|seconds| Duration::from_secs_f64(*seconds))
     }
 
-    /// Pays for a retry or a hedge; returns whether the budgets allowed it.
-    pub fn pay(&mut self, service: &ServiceName, team: &TeamName) -> bool {
+    /// Charges the budgets for a retry or a hedged request; returns whether both sufficed.
+    pub fn try_spend(&mut self, service: &ServiceName, team: &TeamName) -> bool {
         let Some(of_service) = self.services.get_mut(service) else { return false };
         let Some(of_team) = self.teams.get_mut(&(service.clone(), team.clone())) else {
             return false;
@@ -189,9 +190,10 @@
         true
     }
 
-    fn pause(&self, attempts: u32, random: &mut dyn Rng) -> Duration {
-        let doubled = 1_u32 << attempts.saturating_sub(1).min(16);
-        let pause = self.options.pause.saturating_mul(doubled).min(self.options.pause_max);
-        pause.mul_f64(random.random_range(0.5..1.5))
+    fn backoff(&self, attempts: u32, random: &mut dyn Rng) -> Duration {
+        let factor = 1_u32 << attempts.saturating_sub(1).min(16);
+        let backoff =
+            self.options.initial_backoff.saturating_mul(factor).min(self.options.max_backoff);
+        backoff.mul_f64(random.random_range(0.5..1.5))
     }
 }
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The queue, the view of the engines and the placement of one service on one node.
+//! The scheduler of one service at one node: admission queue, views of the engines, and placement.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -16,36 +16,36 @@
     },
 };
 
-/// The weight of the newest first token in an engine's slowness.
-const SLOWNESS_NEWEST: f32 = 0.2;
-/// The bounds of an engine's slowness.
+/// The weight of a new sample in the slowness of an engine.
+const SLOWNESS_SAMPLE_WEIGHT: f32 = 0.2;
+/// The minimum and maximum slowness of an engine.
 const SLOWNESS_BOUNDS: (f32, f32) = (0.5, 8.0);
-/// The part of its distance from 1 that an engine's slowness keeps with each report.
-const SLOWNESS_KEPT: f32 = 0.98;
-/// The shortest prediction that a slowness is measured against.
-const LEAST_PREDICTION: Duration = Duration::from_millis(20);
+/// The factor by which the difference between slowness and 1 decays with each load report.
+const SLOWNESS_DECAY: f32 = 0.98;
+/// The minimum time to first token for the computation of slowness.
+const MIN_FIRST_TOKEN: Duration = Duration::from_millis(20);
 
-/// A `SchedulerAction` is what a [`Scheduler`] wants done.
+/// A `SchedulerAction` is an output of a [`Scheduler`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SchedulerAction {
     /// The request is accepted and waits.
     Accept(Ticket),
-    /// The request is refused; the caller may come back after the given time.
+    /// The request is refused; the caller may retry after the given time.
     Refuse(Ticket, Duration),
-    /// The request is to run on this engine now.
+    /// The request starts on this engine now.
     Start(Ticket, WorkerKey),
-    /// The request was to run now, but no engine takes work.
+    /// The request was due to start, but no engine accepts work.
     NoWorker(Ticket),
-    /// The request's deadline has passed while it waited.
+    /// The deadline of the request passed while it waited.
     Expire(Ticket),
 }
 
-/// `SchedulerOptions` size a [`Scheduler`].
+/// `SchedulerOptions` are the options of a [`Scheduler`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerOptions {
-    /// The bounds of the queue.
+    /// The options of the admission queue.
     pub admission: AdmissionOptions,
-    /// The weights of placement.
+    /// The options of placement.
     pub placement: PlacementOptions,
     /// The number of nodes that send work to the same engines.
     pub nodes: usize,
@@ -61,48 +61,48 @@
     }
 }
 
-/// A `Scheduler` takes the requests of one service from arrival to their place on an engine.
+/// A `Scheduler` queues the requests of one service and places them on engines.
 pub struct Scheduler {
     admission: Admission,
     placement: Box<dyn Placement>,
     nodes: usize,
     workers: Vec<WorkerView>,
-    recent: BTreeMap<WorkerKey, VecDeque<Change>>,
+    unreported_changes: BTreeMap<WorkerKey, VecDeque<LoadChange>>,
     waiting: BTreeMap<Ticket, PlacementRequest>,
-    running: BTreeMap<Ticket, Run>,
+    running: BTreeMap<Ticket, RunningRequest>,
 }
 
-/// A change of an engine's load that the next report may not yet show.
+/// A change of the load of an engine that the next report may not include yet.
 #[derive(Clone, Copy, Debug)]
-struct Change {
+struct LoadChange {
     at: Stamp,
     requests: i32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Run {
+struct RunningRequest {
     worker: Option<WorkerKey>,
     tokens: u32,
-    since: Stamp,
-    predicted: Duration,
-    wrote: bool,
+    started_at: Stamp,
+    predicted_first_token: Duration,
+    has_first_token: bool,
 }
 
 impl Scheduler {
-    /// Returns a lane without engines that places by [`PredictedLatency`].
+    /// Returns a scheduler without engines that places requests by [`PredictedLatency`].
     pub fn new(options: SchedulerOptions) -> Scheduler {
         let placement = Box::new(PredictedLatency::new(options.placement.clone()));
         Scheduler::with_placement(options, placement)
     }
 
-    /// Returns a lane without engines.
+    /// Returns a scheduler without engines and with the given placement policy.
     pub fn with_placement(options: SchedulerOptions, placement: Box<dyn Placement>) -> Scheduler {
         Scheduler {
             admission: Admission::new(options.admission),
             placement,
             nodes: options.nodes.max(1),
             workers: Vec::new(),
-            recent: BTreeMap::new(),
+            unreported_changes: BTreeMap::new(),
             waiting: BTreeMap::new(),
             running: BTreeMap::new(),
         }
@@ -113,12 +113,12 @@
         &self.workers
     }
 
-    /// Returns the queue.
+    /// Returns the admission queue.
     pub fn admission(&self) -> &Admission {
         &self.admission
     }
 
-    /// Returns whether nothing waits and nothing runs.
+    /// Returns whether no request waits or runs.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
@@ -138,20 +138,20 @@
         self.nodes = nodes.max(1);
     }
 
-    /// Takes a request in.
+    /// Submits a new request.
     pub fn submit(
         &mut self,
         now: Stamp,
-        wait: AdmissionRequest,
+        admission: AdmissionRequest,
         req: PlacementRequest,
         random: &mut dyn Rng,
     ) -> (Ticket, Vec<SchedulerAction>) {
-        let (ticket, decisions) = self.admission.arrive(now, wait, random);
+        let (ticket, decisions) = self.admission.submit(now, admission, random);
         self.waiting.insert(ticket, req);
-        (ticket, self.carry_out(now, decisions, random))
+        (ticket, self.apply(now, decisions, random))
     }
 
-    /// Notes that a started request no longer runs.
+    /// Records that a started request has ended.
     pub fn finished(
         &mut self,
         now: Stamp,
@@ -159,57 +159,60 @@
         random: &mut dyn Rng,
     ) -> Vec<SchedulerAction> {
         if let Some(run) = self.running.remove(&ticket) {
-            self.change(now, run.worker, -1);
+            self.record_change(now, run.worker, -1);
             if let Some(worker) = self.worker_mut(run.worker) {
                 worker.outstanding = worker.outstanding.saturating_sub(1);
                 worker.outstanding_tokens = worker.outstanding_tokens.saturating_sub(run.tokens);
             }
         }
         let decisions = self.admission.finish(now, ticket);
-        self.carry_out(now, decisions, random)
+        self.apply(now, decisions, random)
     }
 
-    /// Notes that a started request got its first token.
+    /// Records the first token of a started request.
     pub fn first_token(&mut self, now: Stamp, ticket: Ticket) {
         let Some(run) = self.running.get_mut(&ticket) else { return };
-        if std::mem::replace(&mut run.wrote, true) {
+        if std::mem::replace(&mut run.has_first_token, true) {
             return;
         }
-        let took = now.since(run.since).max(LEAST_PREDICTION);
-        let ratio = took.as_secs_f32() / run.predicted.max(LEAST_PREDICTION).as_secs_f32();
+        let took = now.since(run.started_at).max(MIN_FIRST_TOKEN);
+        let ratio =
+            took.as_secs_f32() / run.predicted_first_token.max(MIN_FIRST_TOKEN).as_secs_f32();
         let worker = run.worker;
         let Some(worker) = self.worker_mut(worker) else { return };
-        worker.slowness += SLOWNESS_NEWEST * (ratio - 1.0) * worker.slowness;
+        worker.slowness += SLOWNESS_SAMPLE_WEIGHT * (ratio - 1.0) * worker.slowness;
         worker.slowness = worker.slowness.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
     }
 
-    /// Puts engines in place of the present ones; what was learnt of those that stay is kept.
+    /// Replaces the set of engines; the learned state of those that remain is kept.
     pub fn set_workers(
         &mut self,
         now: Stamp,
         workers: Vec<WorkerView>,
         random: &mut dyn Rng,
     ) -> Vec<SchedulerAction> {
-        let before = std::mem::replace(&mut self.workers, workers);
+        let previous = std::mem::replace(&mut self.workers, workers);
         for worker in &mut self.workers {
-            let Some(known) = before.iter().find(|known| known.key == worker.key) else { continue };
+            let Some(known) = previous.iter().find(|known| known.key == worker.key) else {
+                continue;
+            };
             let (price, reclaimable) = (worker.price, worker.reclaimable);
             let (network_latency, role) = (worker.network_latency, worker.role);
             let open = worker.open && known.open;
             *worker =
                 WorkerView { price, reclaimable, network_latency, role, open, ..known.clone() };
         }
-        for known in before {
+        for known in previous {
             if self.workers.iter().any(|worker| worker.key == known.key) {
                 continue;
             }
             self.placement.forget(known.key);
-            self.recent.remove(&known.key);
+            self.unreported_changes.remove(&known.key);
         }
-        self.resize(now, random)
+        self.update_capacity(now, random)
     }
 
-    /// Closes an engine for new work for good: its VM is leaving.
+    /// Closes an engine to new work permanently, because its VM is leaving.
     pub fn close(
         &mut self,
         now: Stamp,
@@ -219,10 +222,10 @@
         if let Some(worker) = self.worker_mut(Some(key)) {
             worker.open = false;
         }
-        self.resize(now, random)
+        self.update_capacity(now, random)
     }
 
-    /// Takes in an engine's report of its load.
+    /// Receives a load report of an engine.
     pub fn report(
         &mut self,
         now: Stamp,
@@ -230,41 +233,41 @@
         report: LoadReport,
         random: &mut dyn Rng,
     ) -> Vec<SchedulerAction> {
-        let recent = self.recent.entry(key).or_default();
-        while recent.front().is_some_and(|change| change.at <= report.taken_at) {
-            recent.pop_front();
+        let changes = self.unreported_changes.entry(key).or_default();
+        while changes.front().is_some_and(|change| change.at <= report.taken_at) {
+            changes.pop_front();
         }
-        let requests: i32 = recent.iter().map(|change| change.requests).sum();
-        let requests = requests.saturating_mul(self.sharers());
+        let requests: i32 = changes.iter().map(|change| change.requests).sum();
+        let requests = requests.saturating_mul(self.node_factor());
         if let Some(worker) = self.worker_mut(Some(key)) {
             worker.reported_running = report.running;
             worker.reported_waiting = report.waiting;
             worker.reported_backlog = report.backlog;
             worker.reported_at = report.taken_at;
             worker.step = report.step;
-            worker.since_requests = requests;
-            // An engine that is shunned gets no first tokens that could show it to be well again.
-            worker.slowness = 1.0 + (worker.slowness - 1.0) * SLOWNESS_KEPT;
+            worker.unreported_requests = requests;
+            // An engine that gets no requests yields no samples, so its slowness decays by itself.
+            worker.slowness = 1.0 + (worker.slowness - 1.0) * SLOWNESS_DECAY;
         }
-        self.resize(now, random)
+        self.update_capacity(now, random)
     }
 
-    /// Notes that an engine's prefix cache took in a block or dropped it.
+    /// Records that an engine's prefix cache added or evicted a block.
     pub fn note_cache(&mut self, key: WorkerKey, block: u64, held: bool) {
         self.placement.note_cache(key, block, held);
     }
 
-    /// Lets time pass.
+    /// Expires and starts requests that are due.
     pub fn tick(&mut self, now: Stamp, random: &mut dyn Rng) -> Vec<SchedulerAction> {
         let decisions = self.admission.tick(now);
-        self.carry_out(now, decisions, random)
+        self.apply(now, decisions, random)
     }
 
-    // Reports lag, so all nodes see the same free places for a while. If each took them all, the
-    // engines would get several times what they can hold and first tokens would wait there. A
-    // node takes its part of what is free, and keeps its part of the whole in any case: it would
-    // otherwise never start while its neighbours fill the engines.
-    fn resize(&mut self, now: Stamp, random: &mut dyn Rng) -> Vec<SchedulerAction> {
+    // Load reports lag, so all nodes see the same free slots for a while. If each node used them
+    // all, the engines would get several times their capacity and first tokens would wait there. A
+    // node uses its part of the free slots, and in any case its part of all slots: otherwise it
+    // could never start requests while other nodes keep the engines full.
+    fn update_capacity(&mut self, now: Stamp, random: &mut dyn Rng) -> Vec<SchedulerAction> {
         let (mut load, mut slots, mut own) = (0_usize, 0_usize, 0_usize);
         for worker in self.workers.iter().filter(|worker| worker.open) {
             load += worker.load() as usize;
@@ -276,10 +279,10 @@
         let excess = load.saturating_sub(slots).div_ceil(self.nodes);
         let capacity = part.max((own + free).saturating_sub(excess));
         let decisions = self.admission.set_capacity(now, capacity);
-        self.carry_out(now, decisions, random)
+        self.apply(now, decisions, random)
     }
 
-    fn carry_out(
+    fn apply(
         &mut self,
         now: Stamp,
         decisions: Vec<Decision>,
@@ -309,32 +312,38 @@
         let worker = placed.map(|placed| placed.worker);
         let to_compute = placed.map_or(0, |placed| placed.to_compute);
         let tokens = req.prompt_tokens + req.answer_tokens;
-        let mut run = Run { worker, tokens, since: now, predicted: Duration::ZERO, wrote: false };
+        let mut run = RunningRequest {
+            worker,
+            tokens,
+            started_at: now,
+            predicted_first_token: Duration::ZERO,
+            has_first_token: false,
+        };
         if let Some(worker) = self.worker_mut(worker) {
-            worker.send(now, to_compute);
+            worker.add_pending(now, to_compute);
             let per_second = f64::from(worker.prefill_per_second.max(1));
             let seconds = f64::from(worker.backlog(now)) / per_second;
-            run.predicted = worker.step + Duration::from_secs_f64(seconds);
+            run.predicted_first_token = worker.step + Duration::from_secs_f64(seconds);
             worker.outstanding += 1;
             worker.outstanding_tokens += tokens;
         }
         self.running.insert(ticket, run);
-        self.change(now, worker, 1);
+        self.record_change(now, worker, 1);
         worker.map_or(SchedulerAction::NoWorker(ticket), |key| SchedulerAction::Start(ticket, key))
     }
 
-    fn change(&mut self, now: Stamp, key: Option<WorkerKey>, requests: i32) {
-        let unseen = requests.saturating_mul(self.sharers());
+    fn record_change(&mut self, now: Stamp, key: Option<WorkerKey>, requests: i32) {
+        let all_nodes = requests.saturating_mul(self.node_factor());
         let Some(worker) = self.worker_mut(key) else { return };
-        worker.since_requests += unseen;
+        worker.unreported_requests += all_nodes;
         let key = worker.key;
-        self.recent.entry(key).or_default().push_back(Change { at: now, requests });
+        self.unreported_changes.entry(key).or_default().push_back(LoadChange { at: now, requests });
     }
 
-    // What other nodes do between two reports is not seen. They see the same reports and act by
-    // the same rules, so each change here is taken to happen at every one of them. Without this
-    // the first tokens of a burst waited twice as long, all nodes having chosen the same engines.
-    fn sharers(&self) -> i32 {
+    // Changes by other nodes between two reports are not visible. These nodes see the same reports
+    // and apply the same rules, so each change here is assumed to happen at every node. Otherwise
+    // all nodes choose the same engines, and the first tokens of a burst wait twice as long.
+    fn node_factor(&self) -> i32 {
         i32::try_from(self.nodes).unwrap_or(i32::MAX)
     }
 
