--- a/crates/policy/src/team_limits.rs
+++ b/crates/policy/src/team_limits.rs
@@ -1,4 +1,4 @@
-//! How much each team may ask of a node: requests at once, requests and tokens over time.
+//! Limits of teams at a node: concurrent requests, request rate and token rate.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,62 +7,62 @@
     config::{Rate, TeamConfig},
 };
 
-/// The time whose worth of requests and tokens may come at once.
+/// The capacity of a token bucket, as the time that it takes to refill.
 const BURST: Duration = Duration::from_secs(10);
-/// When a team that has too many requests at once may come back.
-const AT_ONCE_AFTER: Duration = Duration::from_secs(1);
-/// The tokens that have to be there for a request, whatever it then takes.
-const TOKENS_LEAST: f64 = 1.0;
-/// The longest time that a team is told to wait.
-const AFTER_MAX: Duration = Duration::from_secs(60);
-
-/// A `TeamLimit` tells which limit of a team a request has met.
+/// The retry delay of a team with too many concurrent requests.
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The tokens that must be available for a request, whatever it then takes.
+const MIN_TOKENS: f64 = 1.0;
+/// The maximum retry delay.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+
+/// A `TeamLimit` is a kind of limit of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TeamLimit {
-    /// The requests at once.
+    /// The concurrent requests.
     Concurrency,
-    /// The requests over time.
+    /// The rate of requests.
     Requests,
-    /// The tokens over time.
+    /// The rate of tokens.
     Tokens,
 }
 
-/// A `LimitExceeded` tells that a request is over a limit of its team.
+/// A `LimitExceeded` is the error for a request over a limit of its team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitExceeded {
     /// The limit.
     pub limit: TeamLimit,
-    /// After which time the team may come back.
+    /// The delay after which the team may retry.
     pub retry_after: Duration,
 }
 
-/// A `TeamLimiter` holds each team to its limits at one node.
+/// A `TeamLimiter` enforces the limits of each team at one node.
 ///
-/// A limit is meant for all nodes together. Each node grants an equal part of it, so that no
-/// messages are needed; a team that uses only some of the nodes gets less than its limit.
+/// A limit applies to all nodes together. Each node grants an equal part of it, which needs no
+/// communication; a team that uses only some of the nodes gets less than its limit.
 #[derive(Debug, Default)]
 pub struct TeamLimiter {
-    teams: BTreeMap<TeamName, State>,
+    teams: BTreeMap<TeamName, TeamState>,
 }
 
 #[derive(Debug, Default)]
-struct State {
-    at_once: u32,
-    requests: Bucket,
-    tokens: Bucket,
+struct TeamState {
+    concurrent: u32,
+    requests: TokenBucket,
+    tokens: TokenBucket,
 }
 
-/// A bucket that a request may overdraw: an answer that is larger than the bucket would otherwise
-/// never be taken.
+/// A token bucket that a request may overdraw; otherwise a request larger than the bucket would
+/// never be admitted.
 #[derive(Debug, Default)]
-struct Bucket {
-    // None before the first request, when the bucket is full.
+struct TokenBucket {
+    // None means full, before the first request.
     level: Option<f64>,
-    at: Stamp,
+    refilled_at: Stamp,
 }
 
 impl TeamLimiter {
-    /// Takes a request of a team into account, or tells which limit it has met.
+    /// Admits a request of a team, or returns the limit that it exceeds as an error.
     pub fn admit(
         &mut self,
         now: Stamp,
@@ -75,71 +75,71 @@
         state.requests.refill(now, limits.requests, nodes);
         state.tokens.refill(now, limits.tokens, nodes);
 
-        let most = limits.at_once.map(|most| part_of(most, nodes));
-        if most.is_some_and(|most| most <= state.at_once) {
+        let max = limits.at_once.map(|max| part_of(max, nodes));
+        if max.is_some_and(|max| max <= state.concurrent) {
             return Err(LimitExceeded {
                 limit: TeamLimit::Concurrency,
-                retry_after: AT_ONCE_AFTER,
+                retry_after: CONCURRENCY_RETRY_AFTER,
             });
         }
-        if let Some(after) = state.requests.short_for(limits.requests, nodes, 1.0) {
-            return Err(LimitExceeded { limit: TeamLimit::Requests, retry_after: after });
+        if let Some(retry_after) = state.requests.shortage(limits.requests, nodes, 1.0) {
+            return Err(LimitExceeded { limit: TeamLimit::Requests, retry_after });
         }
-        if let Some(after) = state.tokens.short_for(limits.tokens, nodes, TOKENS_LEAST) {
-            return Err(LimitExceeded { limit: TeamLimit::Tokens, retry_after: after });
+        if let Some(retry_after) = state.tokens.shortage(limits.tokens, nodes, MIN_TOKENS) {
+            return Err(LimitExceeded { limit: TeamLimit::Tokens, retry_after });
         }
-        state.at_once += 1;
+        state.concurrent += 1;
         state.requests.take(1.0);
         state.tokens.take(f64::from(tokens));
         Ok(())
     }
 
-    /// Gives back what a request took that was not accepted after all.
+    /// Returns what an admitted request took that was refused afterwards.
     pub fn refund(&mut self, team: &TeamName, tokens: u32) {
         let Some(state) = self.teams.get_mut(team) else { return };
-        state.at_once = state.at_once.saturating_sub(1);
+        state.concurrent = state.concurrent.saturating_sub(1);
         state.requests.take(-1.0);
         state.tokens.take(-f64::from(tokens));
     }
 
-    /// Notes that an accepted request of a team has ended.
+    /// Records that an accepted request of a team has ended.
     pub fn release(&mut self, team: &TeamName) {
         let Some(state) = self.teams.get_mut(team) else { return };
-        state.at_once = state.at_once.saturating_sub(1);
+        state.concurrent = state.concurrent.saturating_sub(1);
     }
 
-    /// Returns the requests of a team that run or wait.
-    pub fn at_once(&self, team: &TeamName) -> u32 {
-        self.teams.get(team).map_or(0, |state| state.at_once)
+    /// Returns the number of requests of a team that run or wait.
+    pub fn concurrent(&self, team: &TeamName) -> u32 {
+        self.teams.get(team).map_or(0, |state| state.concurrent)
     }
 }
 
-impl Bucket {
+impl TokenBucket {
     fn refill(&mut self, now: Stamp, rate: Option<Rate>, nodes: usize) {
         let Some(rate) = rate else {
-            // A limit that is set later begins with a full bucket.
+            // A limit that is set later starts with a full bucket.
             self.level = None;
             return;
         };
         let per_second = per_second(rate, nodes);
-        let most = most(per_second);
-        let gained = now.since(self.at).as_secs_f64() * per_second;
-        self.level = Some(self.level.map_or(most, |level| (level + gained).min(most)));
-        self.at = now;
+        let capacity = capacity(per_second);
+        let refill = now.since(self.refilled_at).as_secs_f64() * per_second;
+        self.level = Some(self.level.map_or(capacity, |level| (level + refill).min(capacity)));
+        self.refilled_at = now;
     }
 
-    // Returns how long less than `least` is in the bucket, none where as much is there.
-    fn short_for(&self, rate: Option<Rate>, nodes: usize, least: f64) -> Option<Duration> {
+    // Returns the time until the bucket holds `needed`, or none if it already does.
+    fn shortage(&self, rate: Option<Rate>, nodes: usize, needed: f64) -> Option<Duration> {
         let (rate, level) = (rate?, self.level?);
-        if least <= level {
+        if needed <= level {
             return None;
         }
         let per_second = per_second(rate, nodes);
         if per_second <= 0.0 {
-            return Some(AFTER_MAX);
+            return Some(MAX_RETRY_AFTER);
         }
-        let after = ((least - level) / per_second).min(AFTER_MAX.as_secs_f64());
-        Some(Duration::from_secs_f64(after))
+        let seconds = ((needed - level) / per_second).min(MAX_RETRY_AFTER.as_secs_f64());
+        Some(Duration::from_secs_f64(seconds))
     }
 
     fn take(&mut self, amount: f64) {
@@ -147,15 +147,15 @@
     }
 }
 
-fn part_of(whole: u32, nodes: usize) -> u32 {
+fn part_of(limit: u32, nodes: usize) -> u32 {
     let nodes = u32::try_from(nodes.max(1)).unwrap_or(u32::MAX);
-    whole.div_ceil(nodes)
+    limit.div_ceil(nodes)
 }
 
 fn per_second(rate: Rate, nodes: usize) -> f64 {
     rate.per_second() / nodes.max(1) as f64
 }
 
-fn most(per_second: f64) -> f64 {
+fn capacity(per_second: f64) -> f64 {
     if per_second <= 0.0 { 0.0 } else { (per_second * BURST.as_secs_f64()).max(1.0) }
 }
--- a/crates/policy/src/windowed_retry_budget.rs
+++ b/crates/policy/src/windowed_retry_budget.rs
@@ -1,69 +1,70 @@
-//! One node's part of the repeats that a service may get.
+//! A retry budget over a sliding window, for one service at one node.
 
 use std::{collections::VecDeque, time::Duration};
 
 use bulrushhall_core::Stamp;
 
-/// The part of the limit that is used: what a node counts and what a backend server sees in a
-/// window differ by what is on its way.
-const USED_SHARE: f64 = 0.8;
+/// The share of the limit that is used: the counts of a node and of a backend server differ by the
+/// requests that are in flight.
+const USABLE_SHARE: f64 = 0.8;
 
-/// A `RetryLimit` bounds the repeats at one service over all nodes.
+/// A `RetryLimit` is the limit on retries to one service over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimit {
-    /// The repeats for each request in a window.
+    /// The retries that each request in the window allows.
     pub ratio: f64,
-    /// The repeats that are free in a window.
+    /// The retries that are allowed in a window in addition.
     pub headroom: f64,
     /// The length of the sliding window.
     pub window: Duration,
 }
 
-/// A `WindowedRetryBudget` counts the requests and repeats of one service at one node.
+/// A `WindowedRetryBudget` limits the retries to one service at one node.
 ///
-/// While a backend server is down each call fails, and repeats without a bound multiply the load
-/// just when it can least be carried. Each node keeps to the ratio by its own requests and to an
-/// equal part of the headroom, so the sum holds without a message between nodes.
+/// While a backend server is down every call fails, and unlimited retries would multiply the load
+/// when capacity is lowest. Each node applies the ratio to its own requests and gets an equal part
+/// of the headroom, so the limit holds over all nodes without communication.
 #[derive(Clone, Debug, Default)]
 pub struct WindowedRetryBudget {
-    firsts: VecDeque<Stamp>,
-    repeats: VecDeque<Stamp>,
+    first_attempts: VecDeque<Stamp>,
+    retries: VecDeque<Stamp>,
 }
 
 impl WindowedRetryBudget {
-    /// Notes a request, whether or not it is sent on.
+    /// Records a request, whether or not it is sent to a backend server.
     pub fn note_first(&mut self, now: Stamp, limit: RetryLimit) {
-        self.firsts.push_back(now);
-        self.forget(now, limit);
+        self.first_attempts.push_back(now);
+        self.remove_expired(now, limit);
     }
 
-    /// Returns how many requests and repeats are remembered: those of one window.
-    pub fn remembered(&self) -> usize {
-        self.firsts.len() + self.repeats.len()
+    /// Returns the number of recorded requests and retries, which are those of one window.
+    pub fn recorded(&self) -> usize {
+        self.first_attempts.len() + self.retries.len()
     }
 
-    /// Returns the repeats that are left now; `nodes` counts all nodes, this one included.
-    pub fn left(&mut self, now: Stamp, limit: RetryLimit, nodes: usize) -> u32 {
-        self.forget(now, limit);
-        let allowed = limit.ratio * self.firsts.len() as f64 + limit.headroom / nodes.max(1) as f64;
-        let left = allowed * USED_SHARE - self.repeats.len() as f64;
-        if left < 1.0 { 0 } else { left as u32 }
+    /// Returns the remaining retries; `nodes` is the number of all nodes, including this one.
+    pub fn remaining(&mut self, now: Stamp, limit: RetryLimit, nodes: usize) -> u32 {
+        self.remove_expired(now, limit);
+        let allowed =
+            limit.ratio * self.first_attempts.len() as f64 + limit.headroom / nodes.max(1) as f64;
+        let remaining = allowed * USABLE_SHARE - self.retries.len() as f64;
+        if remaining < 1.0 { 0 } else { remaining as u32 }
     }
 
-    fn forget(&mut self, now: Stamp, limit: RetryLimit) {
-        for seen in [&mut self.firsts, &mut self.repeats] {
-            while seen.front().is_some_and(|at| limit.window <= now.since(*at)) {
-                seen.pop_front();
+    fn remove_expired(&mut self, now: Stamp, limit: RetryLimit) {
+        for times in [&mut self.first_attempts, &mut self.retries] {
+            while times.front().is_some_and(|at| limit.window <= now.since(*at)) {
+                times.pop_front();
             }
         }
     }
 
-    /// Takes one repeat; returns whether one was left.
+    /// Takes one retry from the budget; returns whether one remained.
     pub fn take(&mut self, now: Stamp, limit: RetryLimit, nodes: usize) -> bool {
-        if self.left(now, limit, nodes) == 0 {
+        if self.remaining(now, limit, nodes) == 0 {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 }
--- a/crates/policy/tests/call_times.rs
+++ b/crates/policy/tests/call_times.rs
@@ -1,4 +1,4 @@
-//! How long calls of a plain service take, and which server is chosen by it.
+//! Call latency estimates of plain services, and the choice of a server by them.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 use rstest::rstest;
 use slotmap::SlotMap;
 
-// Calls of one service take 7 ms and of another 60, one in a hundred five times as long. With a fixed
-// figure the calls of the slow one were sent twice, and a caller of the quick one waited for a server
-// that was long gone.
+// Calls take between 7 ms and 60 ms, depending on the service, and one in a hundred takes five
+// times as long. With a fixed timeout, the calls of a slow service would be sent twice, and callers
+// of a fast one would wait too long for a server that has failed.
 #[rstest]
-fn learnt_times(#[values(7, 30, 60)] usual: u64) {
+fn learned_latency(#[values(7, 30, 60)] typical: u64) {
     let mut times = CallTimes::default();
     for call in 0..200 {
         let factor = if call % 100 == 99 { 5 } else { 1 };
-        times.note(Duration::from_millis((usual + call % 3) * factor));
+        times.note(Duration::from_millis((typical + call % 3) * factor));
     }
-    let within = Duration::from_millis(usual)..=Duration::from_millis(usual + 3);
+    let within = Duration::from_millis(typical)..=Duration::from_millis(typical + 3);
     assert!(within.contains(&times.median()), "{:?}", times.median());
     assert!(within.contains(&times.p95()), "{:?}", times.p95());
 }
@@ -30,12 +30,12 @@
 #[test]
 fn first_calls() {
     let mut times = CallTimes::default();
-    let before = times.p95();
+    let initial = times.p95();
     times.note(Duration::from_secs(9));
-    assert_eq!(times.p95(), before, "one call tells nothing yet");
+    assert_eq!(times.p95(), initial, "one call is not enough for an estimate");
 }
 
-// The wait behind others is as long as the service's own calls take.
+// The expected wait behind other calls depends on the latency of the service.
 #[test]
 fn expected_wait() {
     let mut keys: SlotMap<WorkerKey, ()> = SlotMap::with_key();
--- a/crates/policy/tests/copy_source.rs
+++ b/crates/policy/tests/copy_source.rs
@@ -1,4 +1,4 @@
-//! The engine that another one copies prompt parts from.
+//! The choice of an engine to copy cached prompt tokens from.
 
 use bulrushhall_policy::{
     copy_source::{MIN_COPIED_TOKENS, SourceView, choose_source},
@@ -7,13 +7,13 @@
 use rstest::rstest;
 use slotmap::SlotMap;
 
-const KEPT: u32 = 13_300;
+const CACHED: u32 = 13_300;
 
 fn sources() -> [SourceView; 3] {
     let mut keys: SlotMap<WorkerKey, ()> = SlotMap::with_key();
     let mut source = || SourceView {
         key: keys.insert(()),
-        cached: KEPT,
+        cached: CACHED,
         same_zone: false,
         requests: 8,
         failure_rate: 0.0,
@@ -22,9 +22,9 @@
 }
 
 #[rstest]
-#[case::keeps_most(|sources: &mut [SourceView; 3]| sources[1].cached = KEPT + 1)]
-#[case::nearest(|sources: &mut [SourceView; 3]| sources[1].same_zone = true)]
-#[case::idlest(|sources: &mut [SourceView; 3]| sources[1].requests = 7)]
+#[case::most_cached(|sources: &mut [SourceView; 3]| sources[1].cached = CACHED + 1)]
+#[case::same_zone(|sources: &mut [SourceView; 3]| sources[1].same_zone = true)]
+#[case::least_loaded(|sources: &mut [SourceView; 3]| sources[1].requests = 7)]
 fn best_source(#[case] improve: fn(&mut [SourceView; 3])) {
     let mut sources = sources();
     improve(&mut sources);
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn not_worth_it() {
-    let cached = KEPT - MIN_COPIED_TOKENS;
+fn too_few_tokens() {
+    let cached = CACHED - MIN_COPIED_TOKENS;
     assert!(choose_source(sources(), cached).is_some());
     assert!(choose_source(sources(), cached + 1).is_none());
 }
 
-// An engine is up and fails most calls. A copy from it fails too, and the caller has waited for nothing
-// before the prompt is read after all.
+// An engine is up but fails most calls. A copy from it would fail too, and the caller would wait in
+// vain before the prompt is computed after all.
 #[test]
 fn failing_source() {
     let mut sources = sources();
--- a/crates/policy/tests/engine_choice.rs
+++ b/crates/policy/tests/engine_choice.rs
@@ -1,4 +1,4 @@
-//! The engine for a request, under loads of the kinds that callers bring.
+//! The choice of an engine for a request.
 
 mod idle;
 
@@ -24,14 +24,14 @@
 }
 
 fn request(parts: &[PromptPart]) -> EngineRequest<'_> {
-    let pace = EngineLatencyModel::default();
+    let model = EngineLatencyModel::default();
     EngineRequest {
         parts,
         prompt_tokens: 17_000,
         answer_tokens: 120,
         cached_elsewhere: 0,
         copied_per_ms: 0.0,
-        model: pace,
+        model,
         unseen_tokens: 0.0,
     }
 }
@@ -49,14 +49,15 @@
     views[3].cached = PART.tokens;
     let chosen = choose_engine(request(&[PART]), &views, &mut random).expect("an engine");
     assert_eq!((chosen.key, chosen.prefill_tokens), (views[3].key, 3_700));
-    // Once the queue there is longer than reading the part elsewhere, the part spreads.
+    // When the queue there takes longer than computing the part elsewhere, another engine is
+    // chosen.
     views[3].waiting_tokens = 40_000;
     let chosen = choose_engine(request(&[PART]), &views, &mut random).expect("an engine");
     assert_ne!(chosen.key, views[3].key);
 }
 
-// The only engine that keeps a prompt has a queue. Callers wait behind it, or for another engine that
-// reads the whole prompt anew, unless that engine copies what the first one keeps.
+// The only engine that caches a prompt has a queue. Callers would wait behind it, or for another
+// engine to compute the whole prompt again, unless that engine copies the cached tokens.
 #[test]
 fn copied_part() {
     let mut random = Pcg64::seed_from_u64(1);
@@ -64,7 +65,7 @@
     views[3].cached = PART.tokens;
     let copying =
         EngineRequest { cached_elsewhere: PART.tokens, copied_per_ms: 400.0, ..request(&[PART]) };
-    // A short queue is waited for: a copy takes room in a second memory.
+    // A short queue is not worth a copy, which uses memory of a second engine.
     views[3].waiting_tokens = 2_000;
     let chosen = choose_engine(copying, &views, &mut random).expect("an engine");
     assert_eq!((chosen.key, chosen.copied), (views[3].key, 0));
@@ -73,14 +74,14 @@
     assert_ne!(chosen.key, views[3].key);
     assert!(0 < chosen.copied && chosen.prefill_tokens < 4_000, "{chosen:?}");
     assert!(chosen.first_token < Duration::from_millis(150), "{chosen:?}");
-    // Where engines can't copy, the caller waits, wherever the request goes.
-    let reading = EngineRequest { copied_per_ms: 0.0, ..copying };
-    let chosen = choose_engine(reading, &views, &mut random).expect("an engine");
+    // Without copies the caller waits, whichever engine is chosen.
+    let without_copies = EngineRequest { copied_per_ms: 0.0, ..copying };
+    let chosen = choose_engine(without_copies, &views, &mut random).expect("an engine");
     assert!(Duration::from_millis(150) < chosen.first_token, "{chosen:?}");
 }
 
-// Nodes that know nothing of each other's sends must send prompts that begin alike to the same few
-// engines, or each engine reads them anew.
+// Nodes without knowledge of each other's requests must send prompts with a common prefix to the
+// same few engines, or every engine computes the prefix.
 #[test]
 fn homes_agree() {
     let views = engines(12);
@@ -97,8 +98,8 @@
     }
 }
 
-// An engine's memory is full of running requests. One more would push the newest out in the middle of
-// its answer, and its prompt would be read again.
+// The memory of an engine is full of running requests. Another request would preempt the newest one
+// in the middle of its answer, and the prompt of that request would be computed again.
 #[test]
 fn full_memory() {
     let mut random = Pcg64::seed_from_u64(1);
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn avoided_engine() {
+fn open_circuit() {
     let mut random = Pcg64::seed_from_u64(1);
     let mut views = engines(2);
     views[0].circuit_open = true;
@@ -121,43 +122,43 @@
     assert!(choose_engine(request(&[]), &views, &mut random).is_some());
 }
 
-// A burst of requests about many things. Compared with a random choice, the longest queue has to stay
-// short: the callers behind it are those who get their answers late.
+// In a burst of requests with many different prefixes, the longest queue must be much shorter than
+// with a random choice, because the callers behind it get late answers.
 #[test]
 fn burst_spreads() {
-    let longest = |chooses: bool| {
+    let longest = |uses_choice: bool| {
         let mut random = Pcg64::seed_from_u64(5);
         let mut views = engines(12);
-        let mut memories = vec![CachedParts::default(); 12];
+        let mut caches = vec![CachedParts::default(); 12];
         for number in 0..200 {
             let parts = [PromptPart { id: random.random_range(0..69), tokens: 13_300 }];
-            for (view, memory) in views.iter_mut().zip(&memories) {
-                view.cached = memory.cached(&parts);
-                // All engines read on while the burst comes in.
+            for (view, cache) in views.iter_mut().zip(&caches) {
+                view.cached = cache.cached(&parts);
+                // All engines compute prompts while the burst arrives.
                 view.waiting_tokens = view.waiting_tokens.saturating_sub(1_500);
             }
             let mut at = random.random_range(0..12);
-            if chooses {
+            if uses_choice {
                 let chosen = choose_engine(request(&parts), &views, &mut random).expect("one");
                 at = views.iter().position(|view| view.key == chosen.key).expect("known");
             }
-            let to_read = 17_000 - views[at].cached;
-            views[at].waiting_tokens += u64::from(to_read);
-            memories[at].note(Stamp(number), &parts, 300_000);
+            let prefill_tokens = 17_000 - views[at].cached;
+            views[at].waiting_tokens += u64::from(prefill_tokens);
+            caches[at].note(Stamp(number), &parts, 300_000);
         }
         views.iter().map(|view| view.waiting_tokens).max().expect("engines")
     };
     let (chosen, random) = (longest(true), longest(false));
-    assert!(chosen * 2 < random, "{chosen} against {random}");
+    assert!(chosen * 2 < random, "longest queue: {chosen} tokens, {random} with a random choice");
 }
 
 #[test]
-fn memory_yields() {
-    let mut memory = CachedParts::default();
+fn cache_eviction() {
+    let mut cache = CachedParts::default();
     let part = |id| PromptPart { id, tokens: 100 };
-    memory.note(Stamp(1), &[part(1), part(2)], 250);
-    memory.note(Stamp(2), &[part(1)], 250);
-    memory.note(Stamp(3), &[part(3)], 250);
-    assert_eq!(memory.cached(&[part(1), part(3)]), 200);
-    assert_eq!(memory.cached(&[part(2), part(1)]), 0);
+    cache.note(Stamp(1), &[part(1), part(2)], 250);
+    cache.note(Stamp(2), &[part(1)], 250);
+    cache.note(Stamp(3), &[part(3)], 250);
+    assert_eq!(cache.cached(&[part(1), part(3)]), 200);
+    assert_eq!(cache.cached(&[part(2), part(1)]), 0);
 }
--- a/crates/policy/tests/fair_queueing.rs
+++ b/crates/policy/tests/fair_queueing.rs
@@ -1,4 +1,4 @@
-//! Weighted fair sharing and the order of starts in an admission queue.
+//! Weighted fair queueing and the order of starts in an admission queue.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     TeamName::new(name).expect("a valid name")
 }
 
-fn wait(name: &str, priority: u8, tokens: u32) -> AdmissionRequest {
+fn request(name: &str, priority: u8, tokens: u32) -> AdmissionRequest {
     AdmissionRequest {
         team: team(name),
         priority,
@@ -31,37 +31,37 @@
     starts.collect()
 }
 
-// Runs one request after the other and returns the teams in the order of their starts.
+// Runs the requests one at a time and returns the teams in the order of their starts.
 fn order_of_starts(
     admission: &mut Admission,
     teams: &BTreeMap<Ticket, &'static str>,
 ) -> Vec<&'static str> {
     let mut order = Vec::new();
     let mut now = Stamp(0);
-    let mut open = started(&admission.set_capacity(now, 1));
-    while let Some(ticket) = open.pop() {
+    let mut running = started(&admission.set_capacity(now, 1));
+    while let Some(ticket) = running.pop() {
         order.push(teams[&ticket]);
         now = now + std::time::Duration::from_millis(10);
-        open.extend(started(&admission.finish(now, ticket)));
+        running.extend(started(&admission.finish(now, ticket)));
     }
     order
 }
 
-// One team submits a hundred requests before four small teams submit two each. In arrival order
-// the small teams would wait for all of the large team's work, and their callers would see their
-// first tokens minutes late.
+// One team submits a hundred requests before four small teams submit two each. In arrival order the
+// small teams would wait for all requests of the large team, and their first tokens would be
+// minutes late.
 #[test]
-fn small_teams_pass() {
+fn small_teams_overtake() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut admission = Admission::new(AdmissionOptions::default());
     let mut teams = BTreeMap::new();
     for _ in 0..100 {
-        let (ticket, _) = admission.arrive(Stamp(0), wait("large", 5, 1_000), &mut random);
+        let (ticket, _) = admission.submit(Stamp(0), request("large", 5, 1_000), &mut random);
         teams.insert(ticket, "large");
     }
     for name in ["one", "two", "three", "four"] {
         for _ in 0..2 {
-            let (ticket, _) = admission.arrive(Stamp(0), wait(name, 5, 1_000), &mut random);
+            let (ticket, _) = admission.submit(Stamp(0), request(name, 5, 1_000), &mut random);
             teams.insert(ticket, name);
         }
     }
@@ -82,7 +82,7 @@
     let mut teams = BTreeMap::new();
     for _ in 0..100 {
         for name in ["left", "right"] {
-            let (ticket, _) = admission.arrive(Stamp(0), wait(name, 5, 500), &mut random);
+            let (ticket, _) = admission.submit(Stamp(0), request(name, 5, 500), &mut random);
             teams.insert(ticket, name);
         }
     }
@@ -91,28 +91,28 @@
     assert!(expected.abs_diff(lefts) <= 1, "{lefts} of the first 100 starts");
 }
 
-// A team that was idle for long must not then take all service until it has caught up: the other
-// teams' callers would see a gap for which they are not to blame.
+// A team that was idle for a long time must not get all service until its virtual time has caught
+// up, or the callers of the other teams would be starved.
 #[test]
-fn idle_time_saves_nothing() {
+fn idle_time_earns_nothing() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut admission = Admission::new(AdmissionOptions::default());
     let mut now = Stamp(0);
     admission.set_capacity(now, 1);
-    let mut open = Vec::new();
+    let mut running = Vec::new();
     for _ in 0..200 {
-        let (_, decisions) = admission.arrive(now, wait("busy", 5, 100), &mut random);
-        open.extend(started(&decisions));
+        let (_, decisions) = admission.submit(now, request("busy", 5, 100), &mut random);
+        running.extend(started(&decisions));
         now = now + std::time::Duration::from_millis(10);
-        for ticket in std::mem::take(&mut open) {
-            open.extend(started(&admission.finish(now, ticket)));
+        for ticket in std::mem::take(&mut running) {
+            running.extend(started(&admission.finish(now, ticket)));
         }
     }
     admission.set_capacity(now, 0);
     let mut teams = BTreeMap::new();
     for name in ["busy", "idle"] {
         for _ in 0..20 {
-            let (ticket, _) = admission.arrive(now, wait(name, 5, 100), &mut random);
+            let (ticket, _) = admission.submit(now, request(name, 5, 100), &mut random);
             teams.insert(ticket, name);
         }
     }
@@ -122,34 +122,34 @@
 }
 
 #[test]
-fn patient_never_blocks() {
+fn background_never_blocks() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut admission = Admission::new(AdmissionOptions::default());
     admission.set_capacity(Stamp(0), 10);
     for _ in 0..50 {
-        admission.arrive(Stamp(0), wait("archive", 5, 1_000), &mut random);
+        admission.submit(Stamp(0), request("archive", 5, 1_000), &mut random);
     }
-    assert_eq!(admission.running(), 9, "patient work leaves a reserve");
+    assert_eq!(admission.running(), 9, "background requests leave a reserve");
     for _ in 0..10 {
-        let (ticket, decisions) = admission.arrive(Stamp(0), wait("floor", 0, 100), &mut random);
-        assert_eq!(started(&decisions), [ticket], "the engine makes room for urgent work");
+        let (ticket, decisions) = admission.submit(Stamp(0), request("floor", 0, 100), &mut random);
+        assert_eq!(started(&decisions), [ticket], "the engine makes room for interactive requests");
     }
 }
 
-// A node resumes a request whose engine was taken away while the queue is full. Refusing it would
-// break off an answer that was promised.
+// A node resumes a request whose engine was reclaimed while the queue is full. A refusal would cut
+// off an answer that was promised.
 #[test]
-fn resumed_go_first() {
+fn resumed_requests_go_first() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    let options = AdmissionOptions { queued_tokens: 5_000, ..AdmissionOptions::default() };
+    let options = AdmissionOptions { max_queued_tokens: 5_000, ..AdmissionOptions::default() };
     let mut admission = Admission::new(options);
     let mut teams = BTreeMap::new();
     for _ in 0..5 {
-        let (ticket, _) = admission.arrive(Stamp(0), wait("floor", 5, 1_000), &mut random);
+        let (ticket, _) = admission.submit(Stamp(0), request("floor", 5, 1_000), &mut random);
         teams.insert(ticket, "new");
     }
-    let resumed = AdmissionRequest { accepted: true, ..wait("floor", 5, 1_000) };
-    let (ticket, decisions) = admission.arrive(Stamp(0), resumed, &mut random);
+    let resumed = AdmissionRequest { accepted: true, ..request("floor", 5, 1_000) };
+    let (ticket, decisions) = admission.submit(Stamp(0), resumed, &mut random);
     assert_eq!(decisions, [Decision::Accept(ticket)]);
     teams.insert(ticket, "resumed");
     assert_eq!(order_of_starts(&mut admission, &teams)[0], "resumed");
--- a/crates/policy/tests/fleet_plan.rs
+++ b/crates/policy/tests/fleet_plan.rs
@@ -1,4 +1,4 @@
-//! The fleet plan under reclaims, refusals, lost replies and doubled holders.
+//! The fleet plan under reclaims, refusals, lost replies and two concurrent holders of the duty.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,17 +14,17 @@
 
 const ZONES: [&str; 4] = ["suva-a", "suva-b", "nausori", "navua"];
 
-/// A cloud that sells, refuses and takes back.
+/// A simulated cloud that sells VMs and refuses purchases.
 #[derive(Default)]
 struct Cloud {
     tokens: BTreeMap<String, VmName>,
     refused: BTreeSet<(String, FleetMarket)>,
-    asked: Vec<Place>,
+    attempts: Vec<Place>,
 }
 
 impl Cloud {
     fn buy(&mut self, token: String, place: &Place) -> Option<VmName> {
-        self.asked.push(place.clone());
+        self.attempts.push(place.clone());
         if let Some(vm) = self.tokens.get(&token) {
             return Some(vm.clone());
         }
@@ -62,8 +62,8 @@
     planner
 }
 
-// Lets a second pass: the cloud answers at once and VMs are ready at once.
-fn second(planner: &mut FleetPlanner, cloud: &mut Cloud, now: Stamp) -> Vec<VmName> {
+// Runs one tick; the cloud replies immediately and VMs are ready immediately.
+fn run_tick(planner: &mut FleetPlanner, cloud: &mut Cloud, now: Stamp) -> Vec<VmName> {
     let mut drained = Vec::new();
     for action in planner.handle(now, FleetEvent::Tick) {
         match action {
@@ -84,7 +84,7 @@
 fn count(planner: &FleetPlanner, zone: &str, market: FleetMarket) -> usize {
     let slots = planner.plan().slots.values();
     let there = slots.filter(|slot| {
-        slot.state.counts() && slot.place.zone.as_str() == zone && slot.place.market == market
+        slot.state.is_active() && slot.place.zone.as_str() == zone && slot.place.market == market
     });
     there.count()
 }
@@ -121,72 +121,72 @@
 }
 
 #[test]
-fn calm_buys_cheap() {
+fn buys_cheapest_spread() {
     let (mut planner, mut cloud) = (planner(9), Cloud::default());
-    second(&mut planner, &mut cloud, Stamp(0));
+    run_tick(&mut planner, &mut cloud, Stamp(0));
     for zone in ZONES {
         assert_eq!(count(&planner, zone, FleetMarket::Reclaimable), 3);
     }
     assert_eq!(total(&planner, FleetMarket::OnDemand), 0);
 }
 
-// A zone is taken back and sells nothing for a while. The survivors carry the load, but a second
-// loss would not leave enough of them; callers would see it as refusals in the next reclaim.
+// A zone is reclaimed and has no capacity for a while. The remaining VMs can carry the load, but
+// they must be spread again to also survive the next reclaim.
 #[test]
-fn lost_zone_is_spread() {
+fn lost_zone_is_redistributed() {
     let (mut planner, mut cloud) = (planner(9), Cloud::default());
-    second(&mut planner, &mut cloud, Stamp(0));
+    run_tick(&mut planner, &mut cloud, Stamp(0));
     reclaim(&mut planner, &mut cloud, Stamp::from_millis(1_000), "suva-a");
-    second(&mut planner, &mut cloud, Stamp::from_millis(2_000));
+    run_tick(&mut planner, &mut cloud, Stamp::from_millis(2_000));
     assert_eq!(total(&planner, FleetMarket::Reclaimable), 14);
     assert_eq!(count(&planner, "suva-a", FleetMarket::Reclaimable), 0);
     assert!(ZONES.iter().all(|zone| count(&planner, zone, FleetMarket::Reclaimable) <= 5));
     assert_eq!(total(&planner, FleetMarket::OnDemand), 0);
 }
 
-// Three zones are taken back one after the other. Buying all that is missing in the last one
-// would lose everything at once if it went too.
+// Three zones are reclaimed one after the other. If all missing VMs were bought in the last zone,
+// its loss would take everything.
 #[test]
-fn last_zone_keeps_its_part() {
+fn last_zone_is_not_overfilled() {
     let (mut planner, mut cloud) = (planner(9), Cloud::default());
-    second(&mut planner, &mut cloud, Stamp(0));
+    run_tick(&mut planner, &mut cloud, Stamp(0));
     for (at, zone) in (1..).zip(&ZONES[..3]) {
         let now = Stamp::from_millis(at * 10_000);
         reclaim(&mut planner, &mut cloud, now, zone);
-        second(&mut planner, &mut cloud, now + Duration::from_secs(1));
+        run_tick(&mut planner, &mut cloud, now + Duration::from_secs(1));
     }
     assert!(count(&planner, "navua", FleetMarket::Reclaimable) <= 5);
-    assert!(9 <= total(&planner, FleetMarket::OnDemand), "on demand carries the rest");
+    assert!(9 <= total(&planner, FleetMarket::OnDemand), "on-demand VMs cover the rest");
 }
 
-// Reclaimable VMs are refused everywhere, then sold again. On-demand VMs that stay would make
-// the members' bill three times as high.
+// Reclaimable VMs are unavailable everywhere and then available again. On-demand VMs must then be
+// released, since they would triple the cost.
 #[test]
-fn on_demand_is_given_back() {
+fn on_demand_is_released() {
     let (mut planner, mut cloud) = (planner(9), Cloud::default());
     for zone in ZONES {
         cloud.refused.insert((zone.to_owned(), FleetMarket::Reclaimable));
     }
     let mut now = Stamp(0);
     for _ in 0..40 {
-        second(&mut planner, &mut cloud, now);
+        run_tick(&mut planner, &mut cloud, now);
         now = now + Duration::from_secs(1);
     }
     assert_eq!(total(&planner, FleetMarket::OnDemand), 9);
-    let refusals = cloud.asked.iter().filter(|place| place.market == FleetMarket::Reclaimable);
-    assert!(refusals.count() < 80, "refusing places are asked ever more rarely");
+    let refusals = cloud.attempts.iter().filter(|place| place.market == FleetMarket::Reclaimable);
+    assert!(refusals.count() < 80, "attempts in refusing places back off");
 
     cloud.refused.clear();
     for _ in 0..400 {
-        second(&mut planner, &mut cloud, now);
+        run_tick(&mut planner, &mut cloud, now);
         now = now + Duration::from_secs(1);
     }
     assert_eq!(total(&planner, FleetMarket::OnDemand), 0);
     assert_eq!(total(&planner, FleetMarket::Reclaimable), 12);
 }
 
-// The reply to a purchase is lost, so the planner asks again. A second VM would be paid for and
-// used by nobody.
+// The replies to purchases are lost, so the planner retries them. A second VM would be paid for but
+// unused.
 #[test]
 fn lost_reply_buys_once() {
     let (mut planner, mut cloud) = (planner(9), Cloud::default());
@@ -198,13 +198,13 @@
         }
     }
     assert_eq!(cloud.tokens.len(), 12);
-    assert_eq!(cloud.asked.len(), 36);
+    assert_eq!(cloud.attempts.len(), 36);
 }
 
-// A holder of the duty is paused and wakes after another has taken over from the saved plan. Both
-// buy; they must not buy twice what one of them wants.
+// A paused holder of the duty resumes after another node has taken over from the saved plan. Both
+// buy, but each slot must be bought only once.
 #[test]
-fn doubled_holder_buys_once() {
+fn concurrent_holders_buy_once() {
     let (mut first, mut cloud) = (planner(9), Cloud::default());
     let actions = first.handle(Stamp(0), FleetEvent::Tick);
     let Some(FleetAction::Save(saved)) = actions.first().cloned() else { panic!("not saved") };
@@ -212,7 +212,7 @@
     let mut second_holder = FleetPlanner::new(FleetOptions::default(), saved);
     second_holder.handle(Stamp(0), FleetEvent::Offers(offers()));
     second_holder.handle(Stamp(0), FleetEvent::Need(service(), 9));
-    second(&mut second_holder, &mut cloud, Stamp(0));
+    run_tick(&mut second_holder, &mut cloud, Stamp(0));
     assert_eq!(cloud.tokens.len(), 12);
 
     for action in actions {
@@ -222,8 +222,8 @@
     assert_eq!(cloud.tokens.len(), 12);
 }
 
-// The old holder acts on slots that the new one has replaced since. What it buys is bounded by
-// the slots that were wanted in its plan, and shows in no plan, so that it is released.
+// The former holder buys slots that the new one has replaced. The number of these VMs is bounded by
+// the wanted slots of its plan, and they are released because they are not in the current plan.
 #[test]
 fn stale_purchases_are_orphans() {
     let (mut first, mut cloud) = (planner(9), Cloud::default());
@@ -232,7 +232,7 @@
     for slot in &wanted[..2] {
         first.handle(Stamp(0), FleetEvent::Refused(slot.id));
     }
-    second(&mut first, &mut cloud, Stamp::from_millis(3_000));
+    run_tick(&mut first, &mut cloud, Stamp::from_millis(3_000));
     for action in stale {
         let FleetAction::Buy(slot) = action else { continue };
         cloud.buy(slot.token(), &slot.place);
@@ -248,28 +248,28 @@
     assert!(late.iter().all(|action| matches!(action, FleetAction::ReleaseOrphan(_))));
 }
 
-// The need falls for a few seconds, as it does between two bursts. Giving engines back at once
-// would leave the next burst with cold ones.
+// The need falls for a short time, as between two bursts. If engines were released at once, the
+// next burst would meet cold ones.
 #[test]
 fn short_dip_keeps_engines() {
     let (mut planner, mut cloud) = (planner(9), Cloud::default());
-    second(&mut planner, &mut cloud, Stamp(0));
+    run_tick(&mut planner, &mut cloud, Stamp(0));
     let drained = |planner: &mut FleetPlanner, cloud: &mut Cloud, seconds: u64| {
         let now = Stamp::from_millis(seconds * 1_000);
         planner.handle(now, FleetEvent::Need(service(), 3));
-        second(planner, cloud, now).len()
+        run_tick(planner, cloud, now).len()
     };
     assert_eq!(drained(&mut planner, &mut cloud, 10), 0);
     assert_eq!(drained(&mut planner, &mut cloud, 100), 0);
     assert_eq!(drained(&mut planner, &mut cloud, 131), 8);
-    let serving = planner.plan().slots.values().filter(|slot| slot.state.counts()).count();
+    let serving = planner.plan().slots.values().filter(|slot| slot.state.is_active()).count();
     assert_eq!(serving, 4);
 }
 
 #[test]
-fn drained_take_no_part() {
+fn leaving_vm_stays_leaving() {
     let (mut planner, mut cloud) = (planner(3), Cloud::default());
-    second(&mut planner, &mut cloud, Stamp(0));
+    run_tick(&mut planner, &mut cloud, Stamp(0));
     let Some(vm) = planner.plan().slots.values().find_map(|slot| slot.state.vm().cloned()) else {
         panic!("nothing bought")
     };
--- a/crates/policy/tests/idle/mod.rs
+++ b/crates/policy/tests/idle/mod.rs
@@ -1,10 +1,10 @@
-//! Engines that have nothing to do.
+//! Views of idle engines.
 
 use std::time::Duration;
 
 use bulrushhall_policy::{engine_choice::EngineView, placement::WorkerKey};
 
-/// Returns the view of an engine with nothing to do, and memory for `memory` tokens.
+/// Returns the view of an idle engine with memory for `memory` tokens.
 pub fn engine(key: WorkerKey, identity: u64, memory: u64) -> EngineView {
     EngineView {
         key,
--- a/crates/policy/tests/overload_control.rs
+++ b/crates/policy/tests/overload_control.rs
@@ -1,4 +1,4 @@
-//! Admission under more work than there is capacity for.
+//! Admission control under overload.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,7 +12,7 @@
 const STEP: Duration = Duration::from_millis(10);
 const FIRST_TOKEN: Duration = Duration::from_millis(1_900);
 
-/// What a run of urgent requests came to.
+/// The outcomes of a run of interactive requests.
 #[derive(Default)]
 struct Outcome {
     in_time: usize,
@@ -20,7 +20,7 @@
     refused: usize,
 }
 
-/// A fleet that serves each request for one second.
+/// A simulated fleet in which each request takes one second.
 struct Fleet {
     admission: Admission,
     random: Pcg64Mcg,
@@ -44,7 +44,7 @@
         }
     }
 
-    // Offers `factor` times the work that the fleet can do.
+    // Offers `factor` times the load that the fleet can serve.
     fn run(&mut self, span: Duration, factor: f64) -> Outcome {
         let until = self.now + span;
         while self.now < until {
@@ -55,21 +55,21 @@
                     break;
                 }
                 let decisions = self.admission.finish(at, ticket);
-                self.carry_out(decisions);
+                self.apply(decisions);
             }
             let decisions = self.admission.tick(self.now);
-            self.carry_out(decisions);
+            self.apply(decisions);
             let mean = SLOTS as f64 * STEP.as_secs_f64() * factor;
             let arrivals = mean as usize + usize::from(self.random.random_bool(mean.fract()));
             for _ in 0..arrivals {
-                self.arrive();
+                self.submit();
             }
         }
         std::mem::take(&mut self.outcome)
     }
 
-    fn arrive(&mut self) {
-        let wait = AdmissionRequest {
+    fn submit(&mut self) {
+        let req = AdmissionRequest {
             team: TeamName::new("floor").expect("a valid name"),
             priority: 0,
             tokens: 100,
@@ -77,12 +77,12 @@
             deadline: self.now + Duration::from_secs(30),
             accepted: false,
         };
-        let (ticket, decisions) = self.admission.arrive(self.now, wait, &mut self.random);
+        let (ticket, decisions) = self.admission.submit(self.now, req, &mut self.random);
         self.due.insert(ticket, self.now + FIRST_TOKEN);
-        self.carry_out(decisions);
+        self.apply(decisions);
     }
 
-    fn carry_out(&mut self, decisions: Vec<Decision>) {
+    fn apply(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Accept(_) => {}
@@ -101,8 +101,8 @@
     }
 }
 
-// More urgent requests arrive than the engines can serve. A queue that takes them all grows until
-// every first token is late: the engines are busy and no caller is content.
+// More interactive requests arrive than the engines can serve. A queue that accepts all of them
+// would grow until every first token is late, with all engines busy.
 #[rstest]
 #[case::double(2.0)]
 #[case::fivefold(5.0)]
@@ -120,8 +120,8 @@
     assert!(outcome.late * 100 <= outcome.in_time, "{} late", outcome.late);
 }
 
-// The load falls to half after an overload. Work left in the queue must not keep new callers
-// refused: that would be a state that holds itself up with no cause left.
+// After an overload the load falls to half of the capacity. Requests left in the queue must not
+// cause further refusals; otherwise the overload would sustain itself without a cause.
 #[test]
 fn recovery_takes_seconds() {
     let mut fleet = Fleet::new(7);
@@ -132,16 +132,16 @@
     assert_eq!(after.late, 0);
 }
 
-// Urgent requests fill the engines for good. A survey that only ever yields would never finish,
-// and the craftsman who sent it would get nothing by its stated bound.
+// Interactive requests keep all engines busy. A background request that always yields to them would
+// never finish before its deadline.
 #[test]
-fn patient_work_finishes() {
+fn background_requests_finish() {
     let mut fleet = Fleet::new(3);
     fleet.run(Duration::from_secs(5), 2.0);
-    let mut starts = Vec::new();
-    let mut surveys = Vec::new();
+    let mut started = Vec::new();
+    let mut background = Vec::new();
     for _ in 0..5 {
-        let wait = AdmissionRequest {
+        let req = AdmissionRequest {
             team: TeamName::new("archive").expect("a valid name"),
             priority: 5,
             tokens: 100,
@@ -149,34 +149,34 @@
             deadline: fleet.now + Duration::from_secs(60),
             accepted: true,
         };
-        let deadline = wait.deadline;
-        let (ticket, decisions) = fleet.admission.arrive(fleet.now, wait, &mut fleet.random);
+        let deadline = req.deadline;
+        let (ticket, decisions) = fleet.admission.submit(fleet.now, req, &mut fleet.random);
         fleet.due.insert(ticket, deadline);
-        surveys.push(ticket);
-        fleet.carry_out(decisions);
+        background.push(ticket);
+        fleet.apply(decisions);
     }
     while fleet.now < Stamp::from_millis(70_000) {
         fleet.run(STEP, 2.0);
         for (_, ticket) in fleet.ends.keys() {
-            if surveys.contains(ticket) && !starts.contains(ticket) {
-                starts.push(*ticket);
+            if background.contains(ticket) && !started.contains(ticket) {
+                started.push(*ticket);
             }
         }
     }
-    assert_eq!(starts.len(), surveys.len());
+    assert_eq!(started.len(), background.len());
 }
 
-// Callers that are refused together and told the same time come back together, and are refused
+// Callers that are refused together with the same retry delay would retry together, and be refused
 // together again.
 #[test]
 fn retries_are_spread() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    let options = AdmissionOptions { queued_tokens: 0, ..AdmissionOptions::default() };
+    let options = AdmissionOptions { max_queued_tokens: 0, ..AdmissionOptions::default() };
     let mut admission = Admission::new(options);
     admission.set_capacity(Stamp(0), 1);
     let mut times = Vec::new();
     for _ in 0..100 {
-        let wait = AdmissionRequest {
+        let req = AdmissionRequest {
             team: TeamName::new("floor").expect("a valid name"),
             priority: 0,
             tokens: 100,
@@ -184,7 +184,7 @@
             deadline: Stamp::from_millis(30_000),
             accepted: false,
         };
-        let (ticket, decisions) = admission.arrive(Stamp(0), wait, &mut random);
+        let (ticket, decisions) = admission.submit(Stamp(0), req, &mut random);
         let [Decision::Refuse(refused, after)] = decisions[..] else { panic!("not refused") };
         assert_eq!(refused, ticket);
         times.push(after);
@@ -195,15 +195,15 @@
     assert!(times[0] * 2 < times[99]);
 }
 
-// Requests outlive their deadline in the queue while no engine runs. Once engines come back, work
-// that nobody waits for any more must not be started before work that is still wanted.
+// The deadlines of queued requests pass while there are no engines. Once engines return, expired
+// requests must not be started before those that are still wanted.
 #[test]
 fn expired_never_start() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut admission = Admission::new(AdmissionOptions::default());
     let team = TeamName::new("archive").expect("a valid name");
     for deadline in [1_000, 9_000] {
-        let wait = AdmissionRequest {
+        let req = AdmissionRequest {
             team: team.clone(),
             priority: 5,
             tokens: 10,
@@ -211,10 +211,10 @@
             deadline: Stamp::from_millis(deadline),
             accepted: true,
         };
-        admission.arrive(Stamp(0), wait, &mut random);
+        admission.submit(Stamp(0), req, &mut random);
     }
     let decisions = admission.set_capacity(Stamp::from_millis(2_000), 4);
-    let started = decisions.iter().filter(|one| matches!(one, Decision::Start(_))).count();
+    let starts = decisions.iter().filter(|one| matches!(one, Decision::Start(_))).count();
     let expired = decisions.iter().filter(|one| matches!(one, Decision::Expire(_))).count();
-    assert_eq!((started, expired), (1, 1));
+    assert_eq!((starts, expired), (1, 1));
 }
--- a/crates/policy/tests/placement_choice.rs
+++ b/crates/policy/tests/placement_choice.rs
@@ -1,4 +1,4 @@
-//! Choice of engines by prediction, cache hints and load.
+//! Placement by predicted latency, cache hints and load.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn registry_knows_all() {
+fn builtin_policies() {
     let registry = PlacementRegistry::default();
     let names: Vec<&str> = registry.descriptors().map(|descriptor| descriptor.name).collect();
     let expected = [
@@ -64,7 +64,8 @@
     assert!(registry.make("unheard-of", &PlacementOptions::default()).is_none());
 }
 
-// A VM is leaving, or an engine has just failed for this request. Work sent there is lost again.
+// The VM of an engine is leaving, or the engine has just failed for this request. Requests placed
+// there would fail again.
 #[rstest]
 fn closed_and_failed_are_avoided(
     #[values("predicted", "random", "round-robin", "two-choices", "prefix-affinity")] name: &str,
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn held_prefix_is_found() {
+fn cached_prefix_is_found() {
     let mut placement = PredictedLatency::new(PlacementOptions::default());
     let workers = engines(8);
     let req = prompt("conversation", 480);
@@ -100,10 +101,10 @@
     assert_eq!(choices(&mut placement, &workers, &req)[&workers[5].key], 100);
 }
 
-// Cache events are lost. An engine that holds a whole conversation but for one lost event must
-// still be found, or each gap costs the prompt anew.
+// Some cache events are lost. An engine that caches a whole conversation must still be found, or
+// each gap would cost the recomputation of the prompt.
 #[test]
-fn gaps_do_no_harm() {
+fn lost_cache_events() {
     let mut placement = PredictedLatency::new(PlacementOptions::default());
     let workers = engines(8);
     let req = prompt("conversation", 480);
@@ -115,10 +116,10 @@
     assert_eq!(choices(&mut placement, &workers, &req)[&workers[5].key], 100);
 }
 
-// All requests share one long prefix. Sending them all to the engine that holds it would make
-// first tokens wait there while the others idle.
+// All requests share a long prefix. If all were placed on the engine that caches it, first tokens
+// would be delayed there while the other engines are idle.
 #[test]
-fn full_holder_is_left() {
+fn overloaded_cache_holder_is_skipped() {
     let mut placement = PredictedLatency::new(PlacementOptions::default());
     let mut workers = engines(8);
     let req = prompt("shared", 480);
@@ -130,10 +131,10 @@
     assert!(!choices(&mut placement, &workers, &req).contains_key(&workers[5].key));
 }
 
-// Five nodes see the same reports. If each took the same best engine, that one would be flooded
-// until the next report.
+// Several nodes see the same reports. If all chose the best engine, it would be overloaded until
+// the next report.
 #[test]
-fn equals_share_the_work() {
+fn similar_engines_share_load() {
     let mut placement = PredictedLatency::new(PlacementOptions::default());
     let workers = engines(8);
     let counts = choices(&mut placement, &workers, &PlacementRequest::default());
@@ -141,8 +142,8 @@
     assert!(counts.values().all(|count| *count <= 40), "{counts:?}");
 }
 
-// Nodes that have never talked place one conversation on the same engine, so that its prefix is
-// computed once.
+// Nodes that have never communicated place a conversation on the same engine, so that its prefix is
+// computed only once.
 #[test]
 fn nodes_agree_on_homes() {
     let workers = engines(12);
@@ -175,10 +176,10 @@
     assert_eq!(placed.is_some(), fits);
 }
 
-// A report shows 2,000 prompt tokens waiting, but it is half a second old. Counted as still
-// waiting they would keep work away from an engine that is idle by now.
+// A report shows 2,000 queued prompt tokens, but it is half a second old. If they still counted, no
+// work would be placed on an engine that is idle by now.
 #[test]
-fn old_backlog_fades() {
+fn old_backlog_decays() {
     let view = WorkerView { reported_backlog: 2_000, ..WorkerView::default() };
     assert_eq!(view.backlog(Stamp(0)), 2_000);
     assert_eq!(view.backlog(Stamp::from_millis(250)), 1_000);
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn subsets_are_even_and_steady() {
+fn subsets_are_even_and_stable() {
     let engines: Vec<(u64, usize)> = (0..860).map(|at| (at as u64 * 7_919 + 13, at % 10)).collect();
     let mut nodes_of = vec![0; engines.len()];
     let mut moved = 0;
@@ -204,7 +205,7 @@
         let fewer = subset(node * 104_729 + 7, &engines[..859], 30);
         moved += chosen.iter().filter(|at| !fewer.contains(at)).count();
     }
-    assert!(nodes_of.iter().all(|count| 1 <= *count), "an engine that no node uses");
+    assert!(nodes_of.iter().all(|count| 1 <= *count), "an engine is used by no node");
     assert!(nodes_of.iter().all(|count| *count <= 30), "{:?}", nodes_of.iter().max());
-    assert!(moved <= 30, "{moved} places changed when one engine went");
+    assert!(moved <= 30, "{moved} subset entries changed when one engine was removed");
 }
--- a/crates/policy/tests/quota_relayed.rs
+++ b/crates/policy/tests/quota_relayed.rs
@@ -1,4 +1,4 @@
-//! A team's limit where relays sum up what nodes took.
+//! Quotas with relays that sum up the usage of several nodes.
 
 use bulrushhall_core::{Incarnation, Stamp};
 use bulrushhall_policy::quota::{Quota, QuotaLimit};
@@ -17,10 +17,10 @@
     quota.take(at(millis), LIMIT, NODES, amount).is_ok()
 }
 
-// Guards against a node that is told of its own takings as if others had taken them, which would leave the team
-// half of its limit, and against takings of another zone that are not subtracted.
+// A node must not receive its own usage as if it were that of others, which would halve the limit
+// of the team, and the usage of other zones must be subtracted.
 #[test]
-fn own_left_out() {
+fn own_usage_excluded() {
     let (mut relay, mut member, mut far) = (Quota::default(), Quota::default(), Quota::default());
     let exchange = |millis: u64, relay: &mut Quota, member: &mut Quota, far: &mut Quota| {
         relay.receive(at(millis), MEMBER, member.report(at(millis)));
@@ -33,7 +33,7 @@
     assert!(take(&mut member, 11, 300.0));
     exchange(20, &mut relay, &mut member, &mut far);
     exchange(30, &mut relay, &mut member, &mut far);
-    // The member and the zone beyond took 300 each at most once.
+    // The 300 that the member took must be subtracted only once.
     assert!(take(&mut far, 31, 300.0));
     exchange(40, &mut relay, &mut member, &mut far);
     assert!(!take(&mut member, 41, 450.0), "600 of 1,000 are taken");
@@ -42,9 +42,10 @@
     assert!(!take(&mut far, 51, 100.0), "950 of 1,000 are taken");
 }
 
-// Guards against a limit of which all but one node's part is kept back, since only one relay is heard.
+// A relay's report must count for all of its nodes. If it counted as one, the parts of the other
+// nodes would be withheld as if these were silent.
 #[test]
-fn nodes_of_relay() {
+fn relay_counts_for_nodes() {
     let (mut relay, mut member) = (Quota::default(), Quota::default());
     for step in 0..40 {
         let now = at(step * 100);
--- a/crates/policy/tests/reclaim_moves.rs
+++ b/crates/policy/tests/reclaim_moves.rs
@@ -1,4 +1,4 @@
-//! What happens to the requests of an engine that is taken back.
+//! Move decisions for the requests of a reclaimed engine.
 
 use std::time::Duration;
 
@@ -12,25 +12,27 @@
 const NOTICE: Duration = Duration::from_secs(5);
 
 #[test]
-fn short_ones_finish() {
+fn short_requests_finish() {
     let plan = plan_moves(NOTICE, &[running(1, 500, 0, 1_000)], &MoveOptions::default());
     assert_eq!(plan, [(1, MoveDecision::Finish)]);
 }
 
-// The notice is too short to move everything. What saves most computing for each byte goes first,
-// and the rest is resumed elsewhere rather than lost halfway through a move.
+// The notice period is too short to move all requests. Those that save the most recomputation per
+// byte are moved first, and the others resume on another engine rather than fail in the middle of a
+// move.
 #[test]
-fn most_saved_goes_first() {
+fn largest_saving_first() {
     let all = [running(1, 20_000, 15_000, 60_000), running(2, 20_000, 0, 60_000)];
     let options = MoveOptions { recomputed: 10.0, ..MoveOptions::default() };
     let plan = plan_moves(NOTICE, &all, &options);
-    let fates: Vec<u32> = plan.iter().map(|(key, _)| *key).collect();
-    assert_eq!(fates, [2, 1]);
+    let order: Vec<u32> = plan.iter().map(|(key, _)| *key).collect();
+    assert_eq!(order, [2, 1]);
     assert!(matches!(plan[0].1, MoveDecision::Move(span) if span < NOTICE));
-    let crowd: Vec<RunningRequest<u32>> =
+    let many: Vec<RunningRequest<u32>> =
         (0..100).map(|key| running(key, 2_000, 0, 60_000)).collect();
-    let plan = plan_moves(NOTICE, &crowd, &options);
-    let moved = plan.iter().filter(|(_, fate)| matches!(fate, MoveDecision::Move(_))).count();
+    let plan = plan_moves(NOTICE, &many, &options);
+    let moved =
+        plan.iter().filter(|(_, decision)| matches!(decision, MoveDecision::Move(_))).count();
     assert!((20..=26).contains(&moved), "{moved} moved");
     assert_eq!(plan.len(), 100);
 }
