--- a/crates/policy/src/placement/hints.rs
+++ b/crates/policy/src/placement/hints.rs
@@ -58,7 +58,7 @@
     }
 
     /// Removes an engine with all its hints.
-    pub fn forget(&mut self, worker: WorkerKey) {
+    pub fn remove_worker(&mut self, worker: WorkerKey) {
         let Some(engine) = self.engines.remove(worker) else { return };
         for block in engine.insertion_order {
             self.clear(block, engine.bit);
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -47,5 +47,5 @@
     fn note_cache(&mut self, _worker: WorkerKey, _block: u64, _held: bool) {}
 
     /// Removes all state of an engine.
-    fn forget(&mut self, _worker: WorkerKey) {}
+    fn remove_worker(&mut self, _worker: WorkerKey) {}
 }
--- a/crates/policy/src/placement/predicted.rs
+++ b/crates/policy/src/placement/predicted.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    fn forget(&mut self, worker: WorkerKey) {
-        self.hints.forget(worker);
+    fn remove_worker(&mut self, worker: WorkerKey) {
+        self.hints.remove_worker(worker);
     }
 }
--- a/crates/policy/src/placement/worker.rs
+++ b/crates/policy/src/placement/worker.rs
@@ -123,14 +123,14 @@
     }
 
     /// Returns the estimated number of requests from other nodes.
-    pub fn others(&self) -> u32 {
+    pub fn other_nodes_load(&self) -> u32 {
         self.load() - self.outstanding
     }
 
     /// Returns the estimated prompt tokens that are queued there now.
     ///
     /// A report is already old when it arrives. Both the reported tokens and those that this node
-    /// sent are assumed to be computed_since at the usual rate since then; otherwise they would
+    /// sent are assumed to be computed at the usual rate since then; otherwise they would
     /// count long after they were done.
     pub fn backlog(&self, now: Stamp) -> u32 {
         let reported =
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -206,7 +206,7 @@
             if self.workers.iter().any(|worker| worker.key == known.key) {
                 continue;
             }
-            self.placement.forget(known.key);
+            self.placement.remove_worker(known.key);
             self.unreported_changes.remove(&known.key);
         }
         self.update_capacity(now, random)
--- a/crates/policy/tests/fleet_plan.rs
+++ b/crates/policy/tests/fleet_plan.rs
@@ -131,7 +131,8 @@
 }
 
 // A zone is reclaimed and has no capacity for a while. The remaining VMs can carry the load, but
-// they must be spread again to also survive the next reclaim.
+// VMs must be added in the other zones, or the next reclaim would leave too few and callers would
+// be refused.
 #[test]
 fn lost_zone_is_redistributed() {
     let (mut planner, mut cloud) = (planner(9), Cloud::default());
--- a/crates/policy/tests/retry_budget.rs
+++ b/crates/policy/tests/retry_budget.rs
@@ -93,8 +93,8 @@
     assert_eq!(gave_up, expected);
 }
 
-// Two nodes handle the same call. The number of attempts is passed on with the call, so that the
-// second node does not start again at zero.
+// Two nodes handle the same call, with three attempts allowed. The number of attempts is passed on
+// with the call, so that the second node does not start again at zero.
 #[test]
 fn attempts_carry_over() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
