--- a/crates/bench/src/bin/relay_cost.rs
+++ b/crates/bench/src/bin/relay_cost.rs
@@ -11,7 +11,7 @@
     Probe, Testbed, TestbedOptions, cpu,
     testbed::{MODEL, NODE_THREAD},
 };
-use bulrushhall_core::{Fence, Incarnation, ModelName, RequestId};
+use bulrushhall_core::{FencingNumber, Incarnation, ModelName, RequestId};
 use bulrushhall_external::engine::Generate;
 use bulrushhall_standin::engine::EngineOptions;
 use futures_util::StreamExt;
@@ -157,7 +157,7 @@
         emitted: Vec::new(),
         max_tokens: 8,
         priority: 0,
-        fence: Fence(0),
+        fence: FencingNumber(0),
     })
 }
 
--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -81,7 +81,7 @@
         match self {
             CallerError::Call(error) => write!(f, "{error}"),
             CallerError::Refused { status, code, ran, .. } => {
-                write!(f, "{status}: {code} (ran: {})", ran.word())
+                write!(f, "{status}: {code} (ran: {})", ran.as_str())
             }
             CallerError::Malformed => f.write_str("the answer could not be read"),
         }
@@ -93,13 +93,14 @@
 impl Caller {
     /// Returns a caller of `team` that uses the entry at `address`.
     pub fn new(address: SocketAddr, team: impl Into<String>) -> Caller {
-        let options = EndpointOptions { answer: BODY_TIMEOUT, ..EndpointOptions::default() };
+        let options =
+            EndpointOptions { response_timeout: BODY_TIMEOUT, ..EndpointOptions::default() };
         Caller { endpoint: Endpoint::new(address, options), team: team.into() }
     }
 
     /// Returns a caller that gives up on an answer that hasn't begun within `silence`.
     pub fn with_silence(address: SocketAddr, team: impl Into<String>, silence: Duration) -> Caller {
-        let options = EndpointOptions { answer: silence, ..EndpointOptions::default() };
+        let options = EndpointOptions { response_timeout: silence, ..EndpointOptions::default() };
         Caller { endpoint: Endpoint::new(address, options), team: team.into() }
     }
 
--- a/crates/bench/src/load/addresses.rs
+++ b/crates/bench/src/load/addresses.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use bulrushhall_core::entries::{Entry, EntryList};
+use bulrushhall_core::entries::{EntryList, EntryPoint};
 use hyper::Method;
 use serde_json::Value;
 
@@ -23,7 +23,7 @@
 
 #[derive(Default)]
 struct State {
-    entries: Vec<Entry>,
+    entries: Vec<EntryPoint>,
     until: Option<Instant>,
     callers: BTreeMap<SocketAddr, Arc<Caller>>,
 }
--- a/crates/bench/src/load/person.rs
+++ b/crates/bench/src/load/person.rs
@@ -183,7 +183,7 @@
         let in_progress = code.as_deref() == Some(IN_PROGRESS);
         let may_repeat = ran == Ran::No || record.kind != Kind::Order || in_progress || !refused;
         let passing = after.is_some() || in_progress || is_passing(code.as_deref());
-        (record.code, record.ran) = (code, record.ran.and(ran));
+        (record.code, record.ran) = (code, record.ran.combine(ran));
         record.refusals += u32::from(refused);
         if !may_repeat || !passing || self.plan.retries <= record.retries {
             return Step::End(if refused { Outcome::Refused } else { Outcome::Cut });
--- a/crates/bench/src/policy/simulation.rs
+++ b/crates/bench/src/policy/simulation.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use bulrushhall_core::{Fence, Incarnation, ModelName, RequestId, Stamp, TeamName};
+use bulrushhall_core::{FencingNumber, Incarnation, ModelName, RequestId, Stamp, TeamName};
 use bulrushhall_external::engine::{Frame, Generate};
 use bulrushhall_policy::{
     AdmissionOptions, Fate, Lane, LaneAction, LaneOptions, LoadReport, MoveOptions,
@@ -310,7 +310,7 @@
             emitted: request.emitted.clone(),
             max_tokens: request.arrival.max_tokens,
             priority: request.arrival.priority,
-            fence: Fence(0),
+            fence: FencingNumber(0),
         };
         match self.cluster.machines.get_mut(to) {
             Some(machine) => machine.submit(self.now, generate),
--- a/crates/bench/src/probe.rs
+++ b/crates/bench/src/probe.rs
@@ -37,7 +37,7 @@
 impl Probe {
     /// Returns a probe of the server at `address`.
     pub fn new(address: SocketAddr) -> Probe {
-        let options = EndpointOptions { answer: TIMEOUT, ..EndpointOptions::default() };
+        let options = EndpointOptions { response_timeout: TIMEOUT, ..EndpointOptions::default() };
         Probe { endpoint: Endpoint::new(address, options), headers: Vec::new() }
     }
 
--- a/crates/cli/src/demo/outcome.rs
+++ b/crates/cli/src/demo/outcome.rs
@@ -138,7 +138,7 @@
     for record in report.records.iter().filter(|record| record.outcome != Ended::Finished) {
         let kind = format!("{:?}", record.kind).to_lowercase();
         let code = record.code.as_deref().unwrap_or("no answer");
-        let what = format!("{kind}: {code}, ran: {}", record.ran.word());
+        let what = format!("{kind}: {code}, ran: {}", record.ran.as_str());
         *counts.entry(what).or_default() += 1;
     }
     counts
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -116,7 +116,8 @@
     method: Method,
     path: &str,
 ) -> Result<T, CallError> {
-    let options = EndpointOptions { answer: ANSWER_TIMEOUT, tls, ..EndpointOptions::default() };
+    let options =
+        EndpointOptions { response_timeout: ANSWER_TIMEOUT, tls, ..EndpointOptions::default() };
     let malformed = || CallError::not_done(CallFault::Malformed);
     let req = Request::builder().method(method).uri(path).body(Full::new(Bytes::new()));
     let answer = Endpoint::new(address, options).send(req.map_err(|_| malformed())?).await?;
--- a/crates/cli/tests/operator_tls.rs
+++ b/crates/cli/tests/operator_tls.rs
@@ -8,7 +8,7 @@
 
 use bulrushhall_bench::{Testbed, TestbedOptions};
 use bulrushhall_daemon::{Settings, settings::TlsSettings};
-use bulrushhall_external::http::NODE_NAME;
+use bulrushhall_external::http::TLS_SERVER_NAME;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
 struct Files {
@@ -27,7 +27,7 @@
         let authority = params.self_signed(&authority_key).expect("a certificate");
         let issuer = Issuer::new(params, authority_key);
         let key = KeyPair::generate().expect("a key");
-        let params = CertificateParams::new(vec![NODE_NAME.to_owned()]).expect("parameters");
+        let params = CertificateParams::new(vec![TLS_SERVER_NAME.to_owned()]).expect("parameters");
         let certificate = params.signed_by(&key, &issuer).expect("a certificate");
         fs::write(files.path("authority"), authority.pem()).expect("a file");
         fs::write(files.path("certificate"), certificate.pem()).expect("a file");
--- a/crates/coord/src/attempts.rs
+++ b/crates/coord/src/attempts.rs
@@ -18,13 +18,13 @@
     /// Notes how a try ended.
     pub fn end(&mut self, ran: Ran) {
         self.open = false;
-        self.ended = self.ended.and(ran);
+        self.ended = self.ended.combine(ran);
     }
 
     /// Returns what holds over all tries.
     pub fn ran(&self) -> Ran {
         match self.open {
-            true => self.ended.and(Ran::Unknown),
+            true => self.ended.combine(Ran::Unknown),
             false => self.ended,
         }
     }
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use bulrushhall_core::{Fence, Incarnation, Ran, Stamp};
+use bulrushhall_core::{FencingNumber, Incarnation, Ran, Stamp};
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -33,7 +33,7 @@
     /// Renews the lease.
     Renew(u64),
     /// Removes the duty's key where it has this version.
-    Release(Fence),
+    Release(FencingNumber),
 }
 
 /// A `Holder` is what the key of a held duty says.
@@ -55,9 +55,9 @@
     /// The lease was opened.
     Granted(u64),
     /// The duty's key was written and has this version.
-    Claimed(Fence),
+    Claimed(FencingNumber),
     /// The duty's key is held, with this version and by this holder.
-    Taken(Fence, Holder),
+    Taken(FencingNumber, Holder),
     /// The lease was renewed, or the key removed.
     Done,
     /// The call failed, and may or may not take effect.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
     /// The fencing number that every order carries.
-    pub fence: Fence,
+    pub fence: FencingNumber,
     /// From when on orders may contradict those of an earlier holder.
     pub from: Stamp,
     /// Until when the right lasts if it is not renewed.
@@ -225,7 +225,7 @@
         }
     }
 
-    fn gain(&mut self, now: Stamp, lease: u64, granted: Stamp, fence: Fence) {
+    fn gain(&mut self, now: Stamp, lease: u64, granted: Stamp, fence: FencingNumber) {
         let until = self.until(granted);
         // The key was absent, so the earlier holder's lease has lapsed and it knows by its own
         // clock. Orders that it sent before are gone once their time-out has passed.
--- a/crates/coord/tests/duty_lease.rs
+++ b/crates/coord/tests/duty_lease.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use bulrushhall_coord::{Hold, Holder, Lease, LeaseCall, LeaseOptions, LeaseReply, Wanted, lease};
-use bulrushhall_core::{Fence, Incarnation, Ran, Stamp};
+use bulrushhall_core::{FencingNumber, Incarnation, Ran, Stamp};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -56,11 +56,11 @@
             },
             LeaseCall::Claim(lease) => match self.key {
                 Some((version, life, lease)) => {
-                    LeaseReply::Taken(Fence(version), Holder { life, lease })
+                    LeaseReply::Taken(FencingNumber(version), Holder { life, lease })
                 }
                 None if self.leases.contains_key(&lease) => {
                     self.key = Some((self.version, own, lease));
-                    LeaseReply::Claimed(Fence(self.version))
+                    LeaseReply::Claimed(FencingNumber(self.version))
                 }
                 None => LeaseReply::Failed(Ran::No),
             },
@@ -84,9 +84,9 @@
 
 /// Checks that no two nodes may act at once, and that no fencing number is used by two.
 fn one_holder(looks: &[Look]) -> Result<(), String> {
-    let mut owner: BTreeMap<Fence, usize> = BTreeMap::new();
+    let mut owner: BTreeMap<FencingNumber, usize> = BTreeMap::new();
     let mut at: BTreeMap<Stamp, usize> = BTreeMap::new();
-    let mut newest = Fence(0);
+    let mut newest = FencingNumber(0);
     for look in looks {
         if *owner.entry(look.hold.fence).or_insert(look.node) != look.node {
             return Err(format!("{:?} is used by two nodes", look.hold.fence));
@@ -168,10 +168,10 @@
 
 #[test]
 fn checker_sees_fault() {
-    let hold = Hold { fence: Fence(1), from: Stamp(0), until: Stamp(9) };
+    let hold = Hold { fence: FencingNumber(1), from: Stamp(0), until: Stamp(9) };
     let look = Look { at: Stamp(1), node: 0, hold };
     assert!(one_holder(&[look, Look { node: 1, ..look }]).is_err());
-    let later = Look { at: Stamp(2), node: 1, hold: Hold { fence: Fence(2), ..hold } };
+    let later = Look { at: Stamp(2), node: 1, hold: Hold { fence: FencingNumber(2), ..hold } };
     assert!(one_holder(&[look, later]).is_ok());
     assert!(one_holder(&[look, later, Look { at: Stamp(3), ..look }]).is_err());
     let at_once = Look { at: Stamp(1), ..later };
@@ -181,12 +181,12 @@
 /// An engine that takes orders; one with fencing refuses those with an old number.
 struct Engine {
     fenced: bool,
-    newest: Fence,
+    newest: FencingNumber,
     model: &'static str,
 }
 
 impl Engine {
-    fn order(&mut self, fence: Fence, model: &'static str) {
+    fn order(&mut self, fence: FencingNumber, model: &'static str) {
         if self.fenced && fence < self.newest {
             return;
         }
@@ -205,7 +205,7 @@
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut service = Service::default();
     let options = LeaseOptions::default();
-    let mut engine = Engine { fenced, newest: Fence(0), model: "none" };
+    let mut engine = Engine { fenced, newest: FencingNumber(0), model: "none" };
     let mut old = Lease::new(Stamp(0), Incarnation(1), options);
     let mut new = Lease::new(Stamp(0), Incarnation(2), options);
     let mut now = Stamp(0);
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -41,7 +41,7 @@
 pub use rate::Rate;
 pub use render::{pairs_of, render};
 pub use route::{RouteConfig, RouteKind, ServiceShare, ServiceShareError};
-pub use section::{Section, read_only};
+pub use section::{Section, read_single_section};
 pub use service::{Fencing, ServiceConfig, ServiceType};
 pub use team::TeamConfig;
 pub use weights::Weights;
--- a/crates/core/src/config/section.rs
+++ b/crates/core/src/config/section.rs
@@ -85,7 +85,7 @@
 
 /// Returns the settings of the only section of a kind, or the defaults where there is none; adds what is
 /// wrong in it to `problems`.
-pub fn read_only<T: DeserializeOwned + Default>(
+pub fn read_single_section<T: DeserializeOwned + Default>(
     file: &str,
     sections: &[Section],
     kind: &str,
--- a/crates/core/src/config/team.rs
+++ b/crates/core/src/config/team.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns whether a key with this hash is one of the team's keys.
-    pub fn takes(&self, key: &KeyHash) -> bool {
+    pub fn accepts(&self, key: &KeyHash) -> bool {
         // Both comparisons are made in any case, so that their time does not tell which one fits.
         let first = self.key_hash.as_ref().is_some_and(|own| own.matches(key));
         let second = self.other_key_hash.as_ref().is_some_and(|own| own.matches(key));
--- a/crates/core/src/entries.rs
+++ b/crates/core/src/entries.rs
@@ -13,16 +13,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryList {
     /// The addresses, in the order in which the caller should try them.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EntryPoint>,
     /// How long the answer may be kept, in milliseconds.
     pub time_to_live_ms: u64,
     /// The configuration revision that the answering node has in force.
     pub revision: Revision,
 }
 
-/// An `Entry` is one address that takes callers' requests.
+/// An `EntryPoint` is one address that takes callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct EntryPoint {
     /// The node behind the address.
     pub node: NodeName,
     /// The availability zone of the node.
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -19,11 +19,11 @@
 )]
 pub struct Revision(pub u64);
 
-/// A `Fence` is a fencing number: of two holders of one lease, the later has the higher.
+/// A `FencingNumber` is a fencing number: of two holders of one lease, the later has the higher.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Fence(pub u64);
+pub struct FencingNumber(pub u64);
 
 /// A `RequestId` names one accepted request, unique over all nodes and their lives.
 #[derive(
@@ -52,10 +52,10 @@
     }
 }
 
-impl Fence {
+impl FencingNumber {
     /// Returns the fencing number that follows.
-    pub fn next(self) -> Fence {
-        Fence(self.0 + 1)
+    pub fn next(self) -> FencingNumber {
+        FencingNumber(self.0 + 1)
     }
 }
 
--- a/crates/core/src/ran.rs
+++ b/crates/core/src/ran.rs
@@ -18,13 +18,13 @@
 }
 
 impl Ran {
-    /// Returns what holds once an attempt that ended as `other` is added.
-    pub fn and(self, other: Ran) -> Ran {
+    /// Returns what holds for both this attempt and one that ended as `other`.
+    pub fn combine(self, other: Ran) -> Ran {
         self.max(other)
     }
 
     /// Returns the word used on the wire.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Ran::No => "no",
             Ran::Unknown => "unknown",
--- a/crates/daemon/src/backends.rs
+++ b/crates/daemon/src/backends.rs
@@ -177,7 +177,8 @@
             )))
         }
         ServiceType::Plain => {
-            let options = EndpointOptions { vm, answer: timeout, ..EndpointOptions::default() };
+            let options =
+                EndpointOptions { vm, response_timeout: timeout, ..EndpointOptions::default() };
             let endpoint = Endpoint::new(address.address, options);
             BackendClient::Plain(Arc::new(HttpService::new(endpoint, timeout)))
         }
--- a/crates/daemon/src/callers/entries.rs
+++ b/crates/daemon/src/callers/entries.rs
@@ -8,7 +8,7 @@
 };
 use bulrushhall_core::{
     Incarnation,
-    entries::{Entry, EntryList},
+    entries::{EntryList, EntryPoint},
 };
 use bulrushhall_external::http::Body;
 use hyper::{Response, http::request::Parts};
@@ -39,7 +39,7 @@
 }
 
 /// Returns the addresses for one caller, best first.
-fn entries(cx: &Context, caller: u64) -> Vec<Entry> {
+fn entries(cx: &Context, caller: u64) -> Vec<EntryPoint> {
     if cx.is_isolated() {
         return Vec::new();
     }
@@ -65,8 +65,8 @@
     members.iter().find(|member| member.incarnation == incarnation)
 }
 
-fn entry(member: &Member) -> Entry {
-    Entry {
+fn entry(member: &Member) -> EntryPoint {
+    EntryPoint {
         node: member.node.clone(),
         zone: member.zone.clone(),
         address: member.callers,
--- a/crates/daemon/src/callers/identify.rs
+++ b/crates/daemon/src/callers/identify.rs
@@ -67,7 +67,7 @@
     let hash = KeyHash::of(key);
     let mut found = None;
     for (name, team) in &deployment.teams {
-        if team.takes(&hash) {
+        if team.accepts(&hash) {
             found = Some(name);
         }
     }
--- a/crates/daemon/src/callers/observe.rs
+++ b/crates/daemon/src/callers/observe.rs
@@ -8,7 +8,7 @@
 };
 
 use bulrushhall_core::{ClassName, TeamName};
-use bulrushhall_external::http::{Body, BodyFault};
+use bulrushhall_external::http::{Body, BoxError};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::{
@@ -121,12 +121,12 @@
 
 impl hyper::body::Body for Observed {
     type Data = Bytes;
-    type Error = BodyFault;
+    type Error = BoxError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut TaskContext<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         let polled = Pin::new(&mut self.inner).poll_frame(cx);
         match &polled {
             Poll::Ready(None) => self.ended = true,
--- a/crates/daemon/src/callers/relay.rs
+++ b/crates/daemon/src/callers/relay.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bulrushhall_coord::Version;
-use bulrushhall_core::{Event, Fence};
+use bulrushhall_core::{Event, FencingNumber};
 use bulrushhall_external::{
     CallError, CallFault, Engine,
     engine::{Frame, Generate, Usage},
@@ -148,7 +148,7 @@
         emitted: run.emitted.clone(),
         max_tokens,
         priority,
-        fence: Fence(u64::from(attempt)),
+        fence: FencingNumber(u64::from(attempt)),
     }
 }
 
--- a/crates/daemon/src/callers/services.rs
+++ b/crates/daemon/src/callers/services.rs
@@ -10,7 +10,7 @@
 use bulrushhall_external::{
     CallError, CallFault,
     http::{Body, full},
-    service::{ServiceAnswer, ServiceCall},
+    service::{ServiceCall, ServiceResponse},
 };
 use bytes::Bytes;
 use hyper::{HeaderMap, Response, header::CONTENT_TYPE, http::request::Parts};
@@ -110,7 +110,10 @@
 }
 
 /// Passes a call to one backend server.
-pub(crate) async fn pass(backend: &Backend, call: ServiceCall) -> Result<ServiceAnswer, CallError> {
+pub(crate) async fn pass(
+    backend: &Backend,
+    call: ServiceCall,
+) -> Result<ServiceResponse, CallError> {
     match &backend.client {
         BackendClient::Plain(service) => service.call(call).await,
         BackendClient::Engine(_) => Err(CallError::not_done(CallFault::Identity)),
@@ -168,7 +171,7 @@
     ApiError::not_run(code, error.to_string()).ran(error.ran)
 }
 
-fn to_response(answer: ServiceAnswer) -> Response<Body> {
+fn to_response(answer: ServiceResponse) -> Response<Body> {
     let mut res = Response::new(full(answer.body));
     *res.status_mut() = answer.status;
     if let Some(content_type) = answer.headers.get(CONTENT_TYPE) {
--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/duty.rs
@@ -8,7 +8,7 @@
 use bulrushhall_coord::{
     Hold, Holder, Lease, LeaseCall, LeaseOptions, LeaseReply, Purpose, Wanted, lease::is_candidate,
 };
-use bulrushhall_core::{Fence, Incarnation, ZoneName};
+use bulrushhall_core::{FencingNumber, Incarnation, ZoneName};
 use bulrushhall_external::{
     CallError, KeyValue,
     kv::{CasOutcome, LeaseId, Version},
@@ -101,9 +101,11 @@
                 let own = Holder { life: self.cx.incarnation, lease }.encode();
                 let lease = Some(LeaseId(lease));
                 match kv.put_if(&self.key, Version(0), Bytes::from(own), lease).await {
-                    Ok(CasOutcome::Written(version)) => LeaseReply::Claimed(Fence(version.0)),
+                    Ok(CasOutcome::Written(version)) => {
+                        LeaseReply::Claimed(FencingNumber(version.0))
+                    }
                     Ok(CasOutcome::Conflict(found)) => {
-                        LeaseReply::Taken(Fence(found.version.0), holder_of(&found.value))
+                        LeaseReply::Taken(FencingNumber(found.version.0), holder_of(&found.value))
                     }
                     Err(error) => failed(error),
                 }
--- a/crates/daemon/src/keyed/home.rs
+++ b/crates/daemon/src/keyed/home.rs
@@ -7,12 +7,12 @@
 
 use bulrushhall_coord::{Attempts, Claim, ClaimRefusal, ClaimsOptions, KeyHash, Ledger};
 use bulrushhall_core::{
-    Fence, Incarnation, Ran,
+    FencingNumber, Incarnation, Ran,
     config::{Fencing, ServiceConfig},
 };
 use bulrushhall_external::{
     CallError, CallFault,
-    service::{ServiceAnswer, ServiceCall},
+    service::{ServiceCall, ServiceResponse},
 };
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, StatusCode, header::HeaderName, header::HeaderValue};
@@ -209,7 +209,7 @@
     let in_force = cx.in_force();
     let cfg = in_force.deployment.services.get(&call.service);
     let fence = cfg.filter(|cfg| cfg.fencing == Fencing::Checked);
-    let fence = fence.map(|_| Fence(in_force.revision.0));
+    let fence = fence.map(|_| FencingNumber(in_force.revision.0));
     let mut attempts = Attempts::default();
     let mut stored = None;
 
@@ -233,7 +233,7 @@
     ledger(&cx).settle(now, &call.team, &call.key, attempts.ran(), stored);
 }
 
-fn judge(cfg: Option<&ServiceConfig>, ended: &Result<ServiceAnswer, CallError>) -> Ran {
+fn judge(cfg: Option<&ServiceConfig>, ended: &Result<ServiceResponse, CallError>) -> Ran {
     let fenced = cfg.is_some_and(|cfg| cfg.fencing == Fencing::Checked);
     match ended {
         Err(error) => error.ran,
@@ -244,7 +244,7 @@
     }
 }
 
-fn service_call(call: &KeyedCall, fence: Option<Fence>) -> Option<ServiceCall> {
+fn service_call(call: &KeyedCall, fence: Option<FencingNumber>) -> Option<ServiceCall> {
     let mut headers = HeaderMap::new();
     for (name, value) in &call.headers {
         let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
--- a/crates/daemon/src/keyed/stored.rs
+++ b/crates/daemon/src/keyed/stored.rs
@@ -2,7 +2,7 @@
 
 use bulrushhall_external::{
     http::{Body, full},
-    service::ServiceAnswer,
+    service::ServiceResponse,
 };
 use bytes::Bytes;
 use hyper::{
@@ -24,7 +24,7 @@
 
 impl Stored {
     /// Returns what is kept of a plain service's answer.
-    pub fn of(answer: &ServiceAnswer) -> Stored {
+    pub fn of(answer: &ServiceResponse) -> Stored {
         let content_type = answer.headers.get(CONTENT_TYPE);
         let content_type = content_type.and_then(|it| it.to_str().ok()).map(str::to_owned);
         Stored { status: answer.status.as_u16(), content_type, body: answer.body.clone() }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -18,7 +18,7 @@
 use bulrushhall_external::{
     KeyValue,
     clients::HttpKeyValue,
-    http::{Clients, Endpoint, EndpointOptions, Handler, ServerOptions, listen, serve},
+    http::{ClientAuth, Endpoint, EndpointOptions, Handler, ServerOptions, listen, serve},
 };
 use error_stack::{Report, ResultExt};
 use tokio::{
@@ -129,16 +129,16 @@
 
         let (stop, stopped) = watch::channel(false);
         let mut ports = JoinSet::new();
-        let handlers: [(TcpListener, Arc<dyn Handler>, Clients); 3] = [
-            (callers, Arc::new(CallerPort::new(Arc::clone(&cx))), Clients::All),
-            (peer_listener, Arc::new(peer_port), Clients::Signed),
-            (operators, Arc::new(OperatorPort::new(Arc::clone(&cx))), Clients::Signed),
+        let handlers: [(TcpListener, Arc<dyn Handler>, ClientAuth); 3] = [
+            (callers, Arc::new(CallerPort::new(Arc::clone(&cx))), ClientAuth::Disabled),
+            (peer_listener, Arc::new(peer_port), ClientAuth::Required),
+            (operators, Arc::new(OperatorPort::new(Arc::clone(&cx))), ClientAuth::Required),
         ];
         for (listener, handler, clients) in handlers {
             let limits = &cx.settings.limits;
             let options = ServerOptions {
                 header_timeout: limits.header_timeout.into(),
-                drain: limits.drain.into(),
+                drain_timeout: limits.drain.into(),
                 tls: tls.clone().map(|tls| (tls, clients)),
                 ..ServerOptions::default()
             };
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -10,7 +10,7 @@
 use bulrushhall_core::Incarnation;
 use bulrushhall_external::{
     CallError, CallFault,
-    http::{Endpoint, EndpointOptions, Progress, Tls, read_progressing},
+    http::{BodyTimeouts, Endpoint, EndpointOptions, Tls, read_with_timeouts},
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -24,7 +24,7 @@
 /// The longest time until a reply begins.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How a reply has to arrive once it has begun: it may hold a whole configuration.
-const REPLY: Progress = Progress { pause: REPLY_TIMEOUT, whole: Duration::from_secs(10) };
+const REPLY: BodyTimeouts = BodyTimeouts { idle: REPLY_TIMEOUT, total: Duration::from_secs(10) };
 /// The longest time for opening a connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
@@ -72,7 +72,7 @@
         if status != StatusCode::OK {
             return Err(CallError::not_done(CallFault::Refused { status: status.as_u16() }));
         }
-        let reply = read_progressing(answer.into_body(), MESSAGE_LIMIT, REPLY).await;
+        let reply = read_with_timeouts(answer.into_body(), MESSAGE_LIMIT, REPLY).await;
         let reply = reply.map_err(|error| CallError::unknown(error.into()))?;
         let reply: Envelope<M::Reply> =
             rmp_serde::from_slice(&reply).map_err(|_| CallError::unknown(CallFault::Malformed))?;
@@ -91,8 +91,8 @@
         let mut endpoints = self.endpoints.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let endpoint = endpoints.entry(address).or_insert_with(|| {
             let options = EndpointOptions {
-                connect: CONNECT_TIMEOUT,
-                answer: REPLY_TIMEOUT,
+                connect_timeout: CONNECT_TIMEOUT,
+                response_timeout: REPLY_TIMEOUT,
                 tls: self.tls.clone(),
                 ..EndpointOptions::default()
             };
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_core::{
     CoreError, NodeName, Result, VmName, ZoneName,
-    config::{CommaList, ExactSize, Problem, read_only, read_sections, unknown_sections},
+    config::{CommaList, ExactSize, Problem, read_sections, read_single_section, unknown_sections},
 };
 use bytesize::ByteSize;
 use serde::{Deserialize, Serialize};
@@ -142,12 +142,12 @@
         let (sections, mut problems) = read_sections(file, text);
         problems.extend(unknown_sections(file, &sections, &SECTION_KINDS));
         let settings = Settings {
-            node: read_only(file, &sections, "node", &mut problems),
-            platform: read_only(file, &sections, "platform", &mut problems),
-            limits: read_only(file, &sections, "limits", &mut problems),
-            log: read_only(file, &sections, "log", &mut problems),
-            trace: read_only(file, &sections, "trace", &mut problems),
-            tls: read_only(file, &sections, "tls", &mut problems),
+            node: read_single_section(file, &sections, "node", &mut problems),
+            platform: read_single_section(file, &sections, "platform", &mut problems),
+            limits: read_single_section(file, &sections, "limits", &mut problems),
+            log: read_single_section(file, &sections, "log", &mut problems),
+            trace: read_single_section(file, &sections, "trace", &mut problems),
+            tls: read_single_section(file, &sections, "tls", &mut problems),
         };
         let tls = &settings.tls;
         let set = [&tls.certificate, &tls.key, &tls.authority].map(Option::is_some);
@@ -170,7 +170,7 @@
     pub fn parse(file: &str, text: &str) -> Result<LogSettings> {
         let (sections, _) = read_sections(file, text);
         let mut problems = Vec::new();
-        let settings = read_only(file, &sections, "log", &mut problems);
+        let settings = read_single_section(file, &sections, "log", &mut problems);
         if problems.is_empty() { Ok(settings) } else { Err(CoreError::Config(problems)) }
     }
 }
--- a/crates/daemon/src/telemetry/collector.rs
+++ b/crates/daemon/src/telemetry/collector.rs
@@ -33,7 +33,8 @@
 
 /// Returns what collects the given share of traces and sends them to `collector`.
 pub fn provider(collector: SocketAddr, share: f64) -> Result<SdkTracerProvider, CollectorError> {
-    let options = EndpointOptions { answer: ANSWER_TIMEOUT, ..EndpointOptions::default() };
+    let options =
+        EndpointOptions { response_timeout: ANSWER_TIMEOUT, ..EndpointOptions::default() };
     let endpoint = Arc::new(Endpoint::new(collector, options));
     let client = CollectorClient { endpoint, runtime: Handle::current() };
     let exporter = SpanExporter::builder()
--- a/crates/daemon/tests/silent_connections.rs
+++ b/crates/daemon/tests/silent_connections.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use bulrushhall_core::{Fence, Incarnation, ModelName, Ran, RequestId, VmName};
+use bulrushhall_core::{FencingNumber, Incarnation, ModelName, Ran, RequestId, VmName};
 use bulrushhall_external::{
     CallFault, Engine, KeyValue, PlainService,
     clients::{HttpEngine, HttpKeyValue, HttpService},
@@ -41,7 +41,7 @@
         emitted: Vec::new(),
         max_tokens: 500,
         priority: 0,
-        fence: Fence(0),
+        fence: FencingNumber(0),
     }
 }
 
@@ -53,7 +53,7 @@
 }
 
 fn options(vm: Option<VmName>) -> EndpointOptions {
-    EndpointOptions { answer: PROGRESS, vm, ..EndpointOptions::default() }
+    EndpointOptions { response_timeout: PROGRESS, vm, ..EndpointOptions::default() }
 }
 
 /// Which connection the call took that was meant for the silent one.
--- a/crates/daemon/tests/tls_ports.rs
+++ b/crates/daemon/tests/tls_ports.rs
@@ -9,7 +9,7 @@
 };
 use bulrushhall_external::{
     CallError,
-    http::{Endpoint, EndpointOptions, NODE_NAME, Tls, TlsFiles},
+    http::{Endpoint, EndpointOptions, TLS_SERVER_NAME, Tls, TlsFiles},
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -40,7 +40,7 @@
 
     fn sign(&self, files: &TlsFiles) {
         let key = KeyPair::generate().expect("a key");
-        let params = CertificateParams::new(vec![NODE_NAME.to_owned()]).expect("parameters");
+        let params = CertificateParams::new(vec![TLS_SERVER_NAME.to_owned()]).expect("parameters");
         let certificate = params.signed_by(&key, &self.issuer).expect("a certificate");
         fs::write(&files.key, key.serialize_pem()).expect("a written key");
         fs::write(&files.certificate, certificate.pem()).expect("a written certificate");
@@ -179,7 +179,7 @@
     let address = listener.local_addr().expect("an address");
     let serving = tokio::spawn(async move {
         let (stream, _) = listener.accept().await.expect("a connection");
-        tls.accept(stream, bulrushhall_external::http::Clients::Signed).await.map(drop)
+        tls.accept(stream, bulrushhall_external::http::ClientAuth::Required).await.map(drop)
     });
     let stream = TcpStream::connect(address).await.expect("a connection");
     let client = load(&operator).expect("certificates");
--- a/crates/external/src/clients/kv.rs
+++ b/crates/external/src/clients/kv.rs
@@ -10,20 +10,21 @@
 use crate::{
     Call,
     errors::{CallError, CallFault},
-    http::{Endpoint, Progress, read_progressing},
-    kv::{CasOutcome, Changes, KeyValue, LeaseId, VALUE_MAX, Version, Versioned},
+    http::{BodyTimeouts, Endpoint, read_with_timeouts},
+    kv::{CasOutcome, Changes, KeyValue, LeaseId, MAX_VALUE_BYTES, Version, Versioned},
 };
 
 /// The header that carries a key's version.
 pub const VERSION_HEADER: &str = "x-version";
 /// The header that carries the version that a write expects.
-pub const EXPECT_HEADER: &str = "x-expect-version";
+pub const EXPECTED_VERSION_HEADER: &str = "x-expect-version";
 /// The header that carries the lease that a key is tied to.
 pub const LEASE_HEADER: &str = "x-lease";
 /// How the body of an answer has to arrive.
-const BODY: Progress = Progress { pause: Duration::from_secs(2), whole: Duration::from_secs(20) };
+const BODY: BodyTimeouts =
+    BodyTimeouts { idle: Duration::from_secs(2), total: Duration::from_secs(20) };
 /// The largest answer, in bytes: a value, or a list of keys.
-const ANSWER_LIMIT: usize = VALUE_MAX + (1 << 16);
+const ANSWER_LIMIT: usize = MAX_VALUE_BYTES + (1 << 16);
 
 /// An `HttpKeyValue` is the key-value service reached by HTTP.
 pub struct HttpKeyValue {
@@ -84,7 +85,7 @@
             let mut builder = Request::builder()
                 .method(Method::PUT)
                 .uri(key_path(key))
-                .header(EXPECT_HEADER, expected.0);
+                .header(EXPECTED_VERSION_HEADER, expected.0);
             if let Some(lease) = lease {
                 builder = builder.header(LEASE_HEADER, lease.0);
             }
@@ -97,7 +98,7 @@
             let builder = Request::builder()
                 .method(Method::DELETE)
                 .uri(key_path(key))
-                .header(EXPECT_HEADER, expected.0);
+                .header(EXPECTED_VERSION_HEADER, expected.0);
             self.compare_and_swap(builder, Bytes::new()).await
         })
     }
@@ -142,13 +143,13 @@
     let malformed = || CallError::unknown(CallFault::Malformed);
     let header = answer.headers().get(VERSION_HEADER).ok_or_else(malformed)?;
     let version = header.to_str().map_err(|_| malformed())?.parse().map_err(|_| malformed())?;
-    let body = read_progressing(answer.into_body(), ANSWER_LIMIT, BODY).await;
+    let body = read_with_timeouts(answer.into_body(), ANSWER_LIMIT, BODY).await;
     let value = body.map_err(|error| CallError::unknown(error.into()))?;
     Ok(Versioned { version: Version(version), value })
 }
 
 async fn read_json<T: DeserializeOwned>(answer: Response<Incoming>) -> Result<T, CallError> {
-    let body = read_progressing(answer.into_body(), ANSWER_LIMIT, BODY).await;
+    let body = read_with_timeouts(answer.into_body(), ANSWER_LIMIT, BODY).await;
     let body = body.map_err(|error| CallError::unknown(error.into()))?;
     serde_json::from_slice(&body).map_err(|_| CallError::unknown(CallFault::Malformed))
 }
--- a/crates/external/src/clients/mod.rs
+++ b/crates/external/src/clients/mod.rs
@@ -10,7 +10,7 @@
 
 pub use cloud::HttpCloud;
 pub use engine::HttpEngine;
-pub use kv::{EXPECT_HEADER, HttpKeyValue, LEASE_HEADER, VERSION_HEADER};
-pub use service::{FENCE_HEADER, HttpService};
+pub use kv::{EXPECTED_VERSION_HEADER, HttpKeyValue, LEASE_HEADER, VERSION_HEADER};
+pub use service::{FENCING_NUMBER_HEADER, HttpService};
 pub use vm_list::HttpVmList;
 pub use weights::HttpWeightStore;
--- a/crates/external/src/clients/service.rs
+++ b/crates/external/src/clients/service.rs
@@ -9,11 +9,11 @@
     Call,
     errors::{CallError, CallFault},
     http::{Endpoint, read_limited},
-    service::{PlainService, ServiceAnswer, ServiceCall},
+    service::{PlainService, ServiceCall, ServiceResponse},
 };
 
 /// The header that carries a fencing number.
-pub const FENCE_HEADER: &str = "x-fencing-number";
+pub const FENCING_NUMBER_HEADER: &str = "x-fencing-number";
 /// The largest answer of a plain service, in bytes.
 const ANSWER_LIMIT: usize = 8 << 20;
 
@@ -31,14 +31,14 @@
 }
 
 impl PlainService for HttpService {
-    fn call(&self, call: ServiceCall) -> Call<'_, ServiceAnswer> {
+    fn call(&self, call: ServiceCall) -> Call<'_, ServiceResponse> {
         Box::pin(async move {
             let mut builder = Request::builder().method(call.method).uri(call.path);
             if let Some(headers) = builder.headers_mut() {
                 *headers = call.headers;
             }
             if let Some(fence) = call.fence {
-                builder = builder.header(FENCE_HEADER, fence.0);
+                builder = builder.header(FENCING_NUMBER_HEADER, fence.0);
             }
             let req = builder.body(Full::new(call.body));
             let req = req.map_err(|_| CallError::not_done(CallFault::Malformed))?;
@@ -47,7 +47,7 @@
             let (parts, body) = answer.into_parts();
             let body = read_limited(body, ANSWER_LIMIT, self.timeout).await;
             let body = body.map_err(|_| CallError::unknown(CallFault::Closed))?;
-            Ok(ServiceAnswer { status: parts.status, headers: parts.headers, body })
+            Ok(ServiceResponse { status: parts.status, headers: parts.headers, body })
         })
     }
 }
--- a/crates/external/src/engine.rs
+++ b/crates/external/src/engine.rs
@@ -2,7 +2,7 @@
 
 use std::pin::Pin;
 
-use bulrushhall_core::{Fence, ModelName, RequestId};
+use bulrushhall_core::{FencingNumber, ModelName, RequestId};
 use bytes::Bytes;
 use futures_util::Stream;
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,7 @@
     /// The priority; 0 is the most urgent.
     pub priority: u8,
     /// The fencing number of the sender.
-    pub fence: Fence,
+    pub fence: FencingNumber,
 }
 
 /// A `Frame` is one part of an engine's answer.
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
     /// The fencing number of the sender.
-    pub fence: Fence,
+    pub fence: FencingNumber,
     /// The number of this desired state; an engine that keeps count takes only newer ones.
     pub generation: u64,
     /// The model to load.
--- a/crates/external/src/errors.rs
+++ b/crates/external/src/errors.rs
@@ -73,7 +73,7 @@
             CallFault::Malformed => f.write_str("the answer could not be read"),
             CallFault::Budget => f.write_str("the budget for such calls is spent"),
         }?;
-        write!(f, " (ran: {})", self.ran.word())
+        write!(f, " (ran: {})", self.ran.as_str())
     }
 }
 
--- a/crates/external/src/http/body.rs
+++ b/crates/external/src/http/body.rs
@@ -8,10 +8,10 @@
 use hyper::body::Frame;
 
 /// The body of an answer.
-pub type Body = combinators::UnsyncBoxBody<Bytes, BodyFault>;
+pub type Body = combinators::UnsyncBoxBody<Bytes, BoxError>;
 
 /// What ends a body early; the connection is then closed without the body's regular end.
-pub type BodyFault = Box<dyn error::Error + Send + Sync>;
+pub type BoxError = Box<dyn error::Error + Send + Sync>;
 
 /// A `BodyError` tells why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,13 +24,13 @@
     Closed,
 }
 
-/// A `Progress` bounds the reading of a body that may be large for its link.
+/// `BodyTimeouts` bound the reading of a body, which may be large for its link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Progress {
-    /// The longest pause in which no byte arrives.
-    pub pause: Duration,
-    /// The longest time for the whole.
-    pub whole: Duration,
+pub struct BodyTimeouts {
+    /// The longest time in which no byte arrives.
+    pub idle: Duration,
+    /// The longest time for the whole body.
+    pub total: Duration,
 }
 
 impl fmt::Display for BodyError {
@@ -74,7 +74,7 @@
     }
 }
 
-fn broken(error: &BodyFault) -> BodyError {
+fn broken(error: &BoxError) -> BodyError {
     if error.is::<LengthLimitError>() { BodyError::TooLarge } else { BodyError::Closed }
 }
 
@@ -82,23 +82,23 @@
 ///
 /// A time-out for the whole makes what is too large for a slow link arrive never: it is cut, asked for
 /// again, and takes the link from everything else meanwhile.
-pub async fn read_progressing<B>(
+pub async fn read_with_timeouts<B>(
     body: B,
     limit: usize,
-    progress: Progress,
+    timeouts: BodyTimeouts,
 ) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn error::Error + Send + Sync>>,
 {
-    let frames = read_frames(Limited::new(body, limit), progress.pause);
-    let read = tokio::time::timeout(progress.whole, frames).await;
+    let frames = read_frames(Limited::new(body, limit), timeouts.idle);
+    let read = tokio::time::timeout(timeouts.total, frames).await;
     read.unwrap_or(Err(BodyError::Timeout))
 }
 
 async fn read_frames<B>(body: B, pause: Duration) -> Result<Bytes, BodyError>
 where
-    B: hyper::body::Body<Data = Bytes, Error = BodyFault>,
+    B: hyper::body::Body<Data = Bytes, Error = BoxError>,
 {
     let mut body = pin!(body);
     let mut read = BytesMut::new();
--- a/crates/external/src/http/endpoint.rs
+++ b/crates/external/src/http/endpoint.rs
@@ -39,11 +39,11 @@
 #[derive(Clone, Debug)]
 pub struct EndpointOptions {
     /// The longest time for opening a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// The longest time until the answer's headers arrive.
-    pub answer: Duration,
+    pub response_timeout: Duration,
     /// The most idle connections that are kept.
-    pub idle: usize,
+    pub max_idle: usize,
     /// The VM that must answer on each new connection, where that is known.
     pub vm: Option<VmName>,
     /// How connections are protected, if they are.
@@ -53,9 +53,9 @@
 impl Default for EndpointOptions {
     fn default() -> Self {
         EndpointOptions {
-            connect: Duration::from_millis(800),
-            answer: Duration::from_secs(10),
-            idle: 64,
+            connect_timeout: Duration::from_millis(800),
+            response_timeout: Duration::from_secs(10),
+            max_idle: 64,
             vm: None,
             tls: None,
         }
@@ -122,7 +122,7 @@
     ) -> Result<Response<Incoming>, (Option<Request<Full<Bytes>>>, CallError)> {
         // Dropping the sender after the time-out closes the connection: one that has gone silent
         // is not used again.
-        let sent = timeout(self.options.answer, sender.try_send_request(req)).await;
+        let sent = timeout(self.options.response_timeout, sender.try_send_request(req)).await;
         match sent {
             Err(_) => {
                 // What silenced this connection mostly silenced the others that were open then;
@@ -144,7 +144,7 @@
 
     async fn open(&self) -> Result<Sender, CallError> {
         let connect = || CallError::not_done(CallFault::Connect);
-        let opened = timeout(self.options.connect, TcpStream::connect(self.address)).await;
+        let opened = timeout(self.options.connect_timeout, TcpStream::connect(self.address)).await;
         let stream = opened.map_err(|_| connect())?.map_err(|_| connect())?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(self.protect(stream).await?))
@@ -157,7 +157,7 @@
     async fn protect(&self, stream: TcpStream) -> Result<Box<dyn Connection>, CallError> {
         let Some(tls) = &self.options.tls else { return Ok(Box::new(stream)) };
         let unfit = || CallError::not_done(CallFault::Identity);
-        let protected = timeout(self.options.connect, tls.connect(stream)).await;
+        let protected = timeout(self.options.connect_timeout, tls.connect(stream)).await;
         protected.map_err(|_| unfit())?.map_err(|_| unfit())
     }
 
@@ -171,13 +171,14 @@
             .body(Full::default())
             .map_err(|_| wrong())?;
 
-        let sent = timeout(self.options.connect, sender.send_request(req)).await;
+        let sent = timeout(self.options.connect_timeout, sender.send_request(req)).await;
         let answer = sent.map_err(|_| CallError::not_done(CallFault::Timeout))?;
         let answer = answer.map_err(|_| CallError::not_done(CallFault::Closed))?;
         if answer.status() != StatusCode::OK {
             return Err(wrong());
         }
-        let body = read_limited(answer.into_body(), IDENTITY_LIMIT, self.options.connect).await;
+        let body =
+            read_limited(answer.into_body(), IDENTITY_LIMIT, self.options.connect_timeout).await;
         let body = body.map_err(|_| wrong())?;
         let identity: Identity = serde_json::from_slice(&body).map_err(|_| wrong())?;
         if identity.vm != *vm {
@@ -196,7 +197,7 @@
 
     fn keep(&self, sender: Sender) {
         let mut idle = self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        if idle.len() < self.options.idle {
+        if idle.len() < self.options.max_idle {
             idle.push(sender);
         }
     }
--- a/crates/external/src/http/mod.rs
+++ b/crates/external/src/http/mod.rs
@@ -8,10 +8,11 @@
 mod trace;
 
 pub use body::{
-    Body, BodyError, BodyFault, Progress, empty, full, read_limited, read_progressing, streamed,
+    Body, BodyError, BodyTimeouts, BoxError, empty, full, read_limited, read_with_timeouts,
+    streamed,
 };
 pub use endpoint::{Endpoint, EndpointOptions, Identity};
 pub use listen::listen;
 pub use server::{Handler, ServerOptions, serve};
-pub use tls::{Clients, Connection, NODE_NAME, Tls, TlsError, TlsFiles};
+pub use tls::{ClientAuth, Connection, TLS_SERVER_NAME, Tls, TlsError, TlsFiles};
 pub use trace::set_trace_injector;
--- a/crates/external/src/http/server.rs
+++ b/crates/external/src/http/server.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     BoxFuture,
-    http::{Body, Clients, Connection, Tls},
+    http::{Body, ClientAuth, Connection, Tls},
 };
 
 /// The pause after a failed accept, so that a lack of file handles does not become a busy loop.
@@ -26,7 +26,7 @@
 
     /// Returns the longest time that a new connection may take to send the head of a request, or
     /// stay idle between two; none leaves it at what the options of the port say.
-    fn head_timeout(&self) -> Option<Duration> {
+    fn header_timeout(&self) -> Option<Duration> {
         None
     }
 }
@@ -43,11 +43,11 @@
     /// The longest time that a peer may leave written bytes unread.
     pub write_timeout: Duration,
     /// The most connections that are open at once; further ones are closed on arrival.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long open answers may go on after the stop.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// How connections are protected and which clients are taken, if they are protected.
-    pub tls: Option<(Arc<Tls>, Clients)>,
+    pub tls: Option<(Arc<Tls>, ClientAuth)>,
 }
 
 impl Default for ServerOptions {
@@ -57,8 +57,8 @@
             max_headers: 64,
             max_buffer: 64 * 1024,
             write_timeout: Duration::from_secs(30),
-            connections: 16_384,
-            drain: Duration::from_secs(30),
+            max_connections: 16_384,
+            drain_timeout: Duration::from_secs(30),
             tls: None,
         }
     }
@@ -93,7 +93,7 @@
             continue;
         };
         // Peers that connect and do nothing would otherwise take all file handles.
-        if options.connections <= connections.len() {
+        if options.max_connections <= connections.len() {
             continue;
         }
         // Tokens are small; without this they would wait for the acknowledgement of the last one.
@@ -111,7 +111,7 @@
         });
         let watcher = graceful.watcher();
         let (mut builder, tls) = (builder.clone(), options.tls.clone());
-        if let Some(timeout) = handler.head_timeout() {
+        if let Some(timeout) = handler.header_timeout() {
             builder.header_read_timeout(timeout);
         }
         connections.spawn(async move {
@@ -132,15 +132,15 @@
     }
 
     drop(listener);
-    let _ = tokio::time::timeout(options.drain, graceful.shutdown()).await;
+    let _ = tokio::time::timeout(options.drain_timeout, graceful.shutdown()).await;
 }
 
 async fn protect(
     stream: impl Connection,
-    tls: Option<(Arc<Tls>, Clients)>,
+    tls: Option<(Arc<Tls>, ClientAuth)>,
 ) -> io::Result<Box<dyn Connection>> {
     match tls {
-        Some((tls, clients)) => tls.accept(stream, clients).await,
+        Some((tls, client_auth)) => tls.accept(stream, client_auth).await,
         None => Ok(Box::new(stream)),
     }
 }
--- a/crates/external/src/http/tls.rs
+++ b/crates/external/src/http/tls.rs
@@ -20,7 +20,7 @@
 use tokio_rustls::{TlsAcceptor, TlsConnector};
 
 /// The name that certificates of nodes and operators carry; addresses change too often for it.
-pub const NODE_NAME: &str = "bulrush-node";
+pub const TLS_SERVER_NAME: &str = "bulrush-node";
 /// The longest time that a handshake may take.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -29,13 +29,13 @@
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin + 'static> Connection for T {}
 
-/// A `Clients` tells which clients a port takes.
+/// A `ClientAuth` selects whether the clients of a port need a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Clients {
-    /// Every one.
-    All,
-    /// Those with a certificate that the authority signed.
-    Signed,
+pub enum ClientAuth {
+    /// Clients need no certificate.
+    Disabled,
+    /// Clients need a certificate that the authority signed.
+    Required,
 }
 
 /// `TlsFiles` are the files that certificates are read from, in PEM.
@@ -95,12 +95,12 @@
     pub async fn accept(
         &self,
         stream: impl Connection,
-        clients: Clients,
+        client_auth: ClientAuth,
     ) -> io::Result<Box<dyn Connection>> {
         let loaded = self.current.load_full();
-        let cfg = match clients {
-            Clients::All => &loaded.open_server,
-            Clients::Signed => &loaded.signed_server,
+        let cfg = match client_auth {
+            ClientAuth::Disabled => &loaded.open_server,
+            ClientAuth::Required => &loaded.signed_server,
         };
         let handshake = TlsAcceptor::from(Arc::clone(cfg)).accept(stream);
         Ok(Box::new(timeout(HANDSHAKE_TIMEOUT, handshake).await??))
@@ -109,7 +109,7 @@
     /// Protects a connection that was opened to a node.
     pub async fn connect(&self, stream: impl Connection) -> io::Result<Box<dyn Connection>> {
         let connector = TlsConnector::from(Arc::clone(&self.current.load().client));
-        let name = ServerName::try_from(NODE_NAME).map_err(io::Error::other)?;
+        let name = ServerName::try_from(TLS_SERVER_NAME).map_err(io::Error::other)?;
         Ok(Box::new(timeout(HANDSHAKE_TIMEOUT, connector.connect(name, stream)).await??))
     }
 }
--- a/crates/external/src/kv.rs
+++ b/crates/external/src/kv.rs
@@ -8,7 +8,7 @@
 use crate::Call;
 
 /// The largest value that the service takes, in bytes.
-pub const VALUE_MAX: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// A `Version` is the state of a key: 0 while absent, else a number that rises with each write
 /// to any key of the service.
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// The version up to which nothing else changed below the prefix; a watch goes on from here.
-    pub at: Version,
+    pub version: Version,
     /// The keys, in the order in which the service tells them.
     pub changes: Vec<Change>,
 }
@@ -66,7 +66,7 @@
     /// Returns changes of a service that tells no version of its own: the newest of them counts.
     pub fn after(after: Version, changes: Vec<Change>) -> Changes {
         let newest = changes.iter().map(|change| change.version).max();
-        Changes { at: newest.map_or(after, |newest| newest.max(after)), changes }
+        Changes { version: newest.map_or(after, |newest| newest.max(after)), changes }
     }
 }
 
--- a/crates/external/src/service.rs
+++ b/crates/external/src/service.rs
@@ -1,6 +1,6 @@
 //! Plain services, whose calls are passed through.
 
-use bulrushhall_core::Fence;
+use bulrushhall_core::FencingNumber;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, StatusCode};
 
@@ -18,12 +18,12 @@
     /// The body.
     pub body: Bytes,
     /// The fencing number, for services that compare it.
-    pub fence: Option<Fence>,
+    pub fence: Option<FencingNumber>,
 }
 
-/// A `ServiceAnswer` is a plain service's whole answer.
+/// A `ServiceResponse` is a plain service's whole answer.
 #[derive(Clone, Debug)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -35,5 +35,5 @@
 /// A `PlainService` is one backend server of a plain service.
 pub trait PlainService: Send + Sync {
     /// Passes a call on and returns the whole answer.
-    fn call(&self, call: ServiceCall) -> Call<'_, ServiceAnswer>;
+    fn call(&self, call: ServiceCall) -> Call<'_, ServiceResponse>;
 }
--- a/crates/external/tests/slow_bodies.rs
+++ b/crates/external/tests/slow_bodies.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use bulrushhall_external::http::{Body, BodyError, Progress, read_progressing, streamed};
+use bulrushhall_external::http::{Body, BodyError, BodyTimeouts, read_with_timeouts, streamed};
 use bytes::Bytes;
 use futures_util::{Stream, StreamExt, stream};
 use rstest::rstest;
 use tokio::time::{Instant, sleep};
 
-const PROGRESS: Progress =
-    Progress { pause: Duration::from_secs(1), whole: Duration::from_secs(10) };
+const TIMEOUTS: BodyTimeouts =
+    BodyTimeouts { idle: Duration::from_secs(1), total: Duration::from_secs(10) };
 const CHUNK: usize = 1_000;
 
 // Chunks that come one after the other, each after so many milliseconds.
@@ -26,7 +26,7 @@
 
 async fn read(body: Body, limit: usize) -> (Result<usize, BodyError>, Duration) {
     let began = Instant::now();
-    let read = read_progressing(body, limit, PROGRESS).await;
+    let read = read_with_timeouts(body, limit, TIMEOUTS).await;
     (read.map(|read| read.len()), began.elapsed())
 }
 
@@ -41,7 +41,7 @@
 // Guards against waiting for ever on a connection that has gone silent, or that trickles.
 #[rstest]
 #[case::silent(endless(3), Duration::from_millis(1_030))]
-#[case::trickling(streamed(chunks(1_000, 900)), PROGRESS.whole)]
+#[case::trickling(streamed(chunks(1_000, 900)), TIMEOUTS.total)]
 #[tokio::test(start_paused = true)]
 async fn given_up(#[case] body: Body, #[case] after: Duration) {
     let (read, took) = read(body, 1_000 * CHUNK).await;
--- a/crates/external/tests/stalled_peers.rs
+++ b/crates/external/tests/stalled_peers.rs
@@ -139,7 +139,7 @@
 #[tokio::test]
 async fn too_many_connections() {
     let (address, held, _stop) =
-        start(ServerOptions { connections: 2, ..ServerOptions::default() }).await;
+        start(ServerOptions { max_connections: 2, ..ServerOptions::default() }).await;
     let mut kept = Vec::new();
     for _ in 0..2 {
         let mut peer = TcpStream::connect(address).await.expect("a connection");
--- a/crates/gateway/src/border/orders.rs
+++ b/crates/gateway/src/border/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to the cloud that one node at a time may give.
 
 use bulrushhall_coord::{TeamCounts, Window};
-use bulrushhall_core::{Fence, NodeName, ServiceName};
+use bulrushhall_core::{FencingNumber, NodeName, ServiceName};
 use bulrushhall_external::Call;
 use bulrushhall_policy::fleet_counts::CountOrder;
 
@@ -11,7 +11,7 @@
     /// The holder.
     pub holder: NodeName,
     /// Its fencing number.
-    pub fence: Fence,
+    pub fence: FencingNumber,
 }
 
 /// `Orders` are the calls to the cloud that one node at a time may make.
--- a/crates/gateway/src/duties/holder.rs
+++ b/crates/gateway/src/duties/holder.rs
@@ -8,7 +8,7 @@
 use bulrushhall_coord::{
     Hold, Holder as HolderRecord, Lease, LeaseCall, LeaseOptions, LeaseReply, Role, Wanted,
 };
-use bulrushhall_core::{Event, Fence, Incarnation, NodeName};
+use bulrushhall_core::{Event, FencingNumber, Incarnation, NodeName};
 use bulrushhall_external::{
     CallError, KeyValue,
     kv::{CasOutcome, LeaseId, Version},
@@ -116,9 +116,9 @@
         let own = HolderRecord { life: self.gateway.incarnation, lease }.encode();
         let put = kv.put_if(DUTY_KEY, Version(0), Bytes::from(own), Some(LeaseId(lease)));
         match within(CALL_TIMEOUT, put).await {
-            Ok(CasOutcome::Written(version)) => LeaseReply::Claimed(Fence(version.0)),
+            Ok(CasOutcome::Written(version)) => LeaseReply::Claimed(FencingNumber(version.0)),
             Ok(CasOutcome::Conflict(found)) => {
-                LeaseReply::Taken(Fence(found.version.0), holder_of(&found.value))
+                LeaseReply::Taken(FencingNumber(found.version.0), holder_of(&found.value))
             }
             Err(error) => failed(error),
         }
@@ -131,7 +131,7 @@
 
 /// Keeps the lease of the duties.
 pub async fn keep(holder: Arc<Holder>) {
-    let mut held: Option<Fence> = None;
+    let mut held: Option<FencingNumber> = None;
     loop {
         let wanted = holder.wanted();
         let call = holder.lock(|lease| lease.tick(clock::now(), wanted));
@@ -150,7 +150,7 @@
     }
 }
 
-fn log_change(before: Option<Fence>, now: Option<Fence>) {
+fn log_change(before: Option<FencingNumber>, now: Option<FencingNumber>) {
     if let Some(fence) = before {
         tracing::info!(event = Event::DutiesLost.number(), fence = fence.0);
     }
--- a/crates/gateway/src/knowledge/exchange.rs
+++ b/crates/gateway/src/knowledge/exchange.rs
@@ -11,7 +11,7 @@
 use bulrushhall_core::{Event, NodeName, Stamp};
 use bulrushhall_external::{
     CallError, CallFault,
-    http::{Endpoint, EndpointOptions, Progress, read_progressing},
+    http::{BodyTimeouts, Endpoint, EndpointOptions, read_with_timeouts},
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -54,9 +54,9 @@
 /// The longest time until a node answers.
 pub const ANSWER: Duration = Duration::from_millis(700);
 /// How a digest has to arrive: one that takes longer says nothing of this moment.
-const DIGEST: Progress = Progress { pause: ANSWER, whole: ANSWER };
+const DIGEST: BodyTimeouts = BodyTimeouts { idle: ANSWER, total: ANSWER };
 /// How a configuration has to arrive.
-const DOCUMENT: Progress = Progress { pause: ANSWER, whole: Duration::from_secs(10) };
+const DOCUMENT: BodyTimeouts = BodyTimeouts { idle: ANSWER, total: Duration::from_secs(10) };
 /// The largest message, in bytes: a configuration, with room to spare.
 pub const MESSAGE_LIMIT: usize = 4 << 20;
 /// Where digests are exchanged.
@@ -260,8 +260,11 @@
 
 /// Returns the way to a node.
 pub fn endpoint(address: SocketAddr) -> Endpoint {
-    let options =
-        EndpointOptions { connect: CONNECT, answer: ANSWER, ..EndpointOptions::default() };
+    let options = EndpointOptions {
+        connect_timeout: CONNECT,
+        response_timeout: ANSWER,
+        ..EndpointOptions::default()
+    };
     Endpoint::new(address, options)
 }
 
@@ -269,12 +272,12 @@
     endpoint: &Endpoint,
     path: &str,
     message: Bytes,
-    progress: Progress,
+    progress: BodyTimeouts,
 ) -> Result<T, CallError> {
     let malformed = || CallError::unknown(CallFault::Malformed);
     let req = Request::post(path).body(Full::new(message));
     let answer = endpoint.send(req.map_err(|_| malformed())?).await?;
-    let body = read_progressing(answer.into_body(), MESSAGE_LIMIT, progress).await;
+    let body = read_with_timeouts(answer.into_body(), MESSAGE_LIMIT, progress).await;
     let body = body.map_err(|error| CallError::unknown(error.into()))?;
     rmp_serde::from_slice(&body).map_err(|_| malformed())
 }
--- a/crates/gateway/src/knowledge/follow.rs
+++ b/crates/gateway/src/knowledge/follow.rs
@@ -100,7 +100,7 @@
                 }
                 let before = std::mem::take(&mut failures);
                 let first = at.is_none();
-                at = Some(found.at);
+                at = Some(found.version);
                 if first {
                     follower.listed(asked, found.changes);
                 } else {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -119,7 +119,10 @@
     let listener: io::Result<_> = listen(address);
     let listener = listener.change_context(NodeError::Port(address))?;
     let grace = gateway.settings.bounds.grace.into();
-    let options =
-        ServerOptions { drain: grace, connections: CONNECTIONS, ..ServerOptions::default() };
+    let options = ServerOptions {
+        drain_timeout: grace,
+        max_connections: CONNECTIONS,
+        ..ServerOptions::default()
+    };
     Ok(tokio::spawn(serve(listener, handler, options, stop)))
 }
--- a/crates/gateway/src/pipeline/attempt.rs
+++ b/crates/gateway/src/pipeline/attempt.rs
@@ -228,7 +228,7 @@
         id = req.call.id.as_str(),
         backend = &*place.name,
         fault = failed.fault.word(),
-        ran = failed.ran.word(),
+        ran = failed.ran.as_str(),
         candidates = place.candidates,
         wait_ms = place.wait.as_secs_f64() * 1_000.0
     );
--- a/crates/gateway/src/pipeline/relay.rs
+++ b/crates/gateway/src/pipeline/relay.rs
@@ -3,7 +3,7 @@
 use std::{error, fmt, sync::Arc, time::Duration};
 
 use bulrushhall_core::{Event, ServiceName, config::RouteKind};
-use bulrushhall_external::http::{Body, BodyFault};
+use bulrushhall_external::http::{Body, BoxError};
 use bulrushhall_policy::placement::WorkerKey;
 use bytes::Bytes;
 use futures_util::stream::unfold;
@@ -114,7 +114,7 @@
 
     // An error ends the connection without the regular end of the body, so that a part of an answer
     // is never taken for the whole.
-    async fn next(&mut self) -> Option<Result<Bytes, BodyFault>> {
+    async fn next(&mut self) -> Option<Result<Bytes, BoxError>> {
         if self.ended {
             return None;
         }
@@ -266,7 +266,7 @@
         answering.occupancy.note_stream(gap, events, prompt.answer());
     }
 
-    fn cut(&mut self, fault: RelayFault) -> Option<Result<Bytes, BodyFault>> {
+    fn cut(&mut self, fault: RelayFault) -> Option<Result<Bytes, BoxError>> {
         self.ended = true;
         self.answering = None;
         self.trail.cut();
--- a/crates/gateway/src/ports/callers.rs
+++ b/crates/gateway/src/ports/callers.rs
@@ -29,7 +29,7 @@
 
     // The same time bounds how long a connection may be idle, so the longer one holds: a caller may
     // use a connection again that was idle for most of the idle time-out.
-    fn head_timeout(&self) -> Option<Duration> {
+    fn header_timeout(&self) -> Option<Duration> {
         let limits = self.gateway.table.load().as_ref().map(|table| table.limits)?;
         Some(limits.idle_timeout.max(limits.head_timeout))
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_core::{
     CoreError, NodeName, Result, ZoneName,
-    config::{read_only, read_sections, unknown_sections},
+    config::{read_sections, read_single_section, unknown_sections},
     name::{Name, NameKind},
 };
 use serde::{Deserialize, Serialize};
@@ -129,11 +129,11 @@
         let (sections, mut problems) = read_sections(file, text);
         problems.extend(unknown_sections(file, &sections, &SECTION_KINDS));
         let settings = Settings {
-            gateway: read_only(file, &sections, "gateway", &mut problems),
-            ports: read_only(file, &sections, "ports", &mut problems),
-            endpoints: read_only(file, &sections, "endpoints", &mut problems),
-            bounds: read_only(file, &sections, "bounds", &mut problems),
-            fleet: read_only(file, &sections, "fleet", &mut problems),
+            gateway: read_single_section(file, &sections, "gateway", &mut problems),
+            ports: read_single_section(file, &sections, "ports", &mut problems),
+            endpoints: read_single_section(file, &sections, "endpoints", &mut problems),
+            bounds: read_single_section(file, &sections, "bounds", &mut problems),
+            fleet: read_single_section(file, &sections, "fleet", &mut problems),
         };
         problems.extend(settings.fleet.problems(file, &sections));
         if problems.is_empty() {
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use bulrushhall_core::{Fence, ModelName, RequestId, Stamp, VmName};
+use bulrushhall_core::{FencingNumber, ModelName, RequestId, Stamp, VmName};
 use bulrushhall_external::{
     BoxFuture,
     engine::{CacheEvent, EngineLoad, EngineOrder, Frame, Generate},
@@ -69,7 +69,7 @@
     reports: VecDeque<(Stamp, EngineLoad)>,
     events: VecDeque<(Stamp, CacheEvent)>,
     next_event: u64,
-    fence: Fence,
+    fence: FencingNumber,
     generation: u64,
     loaded: ModelName,
     versions: HashMap<ModelName, String>,
@@ -103,7 +103,7 @@
             reports: VecDeque::new(),
             events: VecDeque::new(),
             next_event: 0,
-            fence: Fence(0),
+            fence: FencingNumber(0),
             generation: 0,
             loaded: model,
             versions: HashMap::new(),
--- a/crates/standin/src/kv/server.rs
+++ b/crates/standin/src/kv/server.rs
@@ -10,9 +10,9 @@
 use bulrushhall_core::Stamp;
 use bulrushhall_external::{
     BoxFuture,
-    clients::{EXPECT_HEADER, LEASE_HEADER, VERSION_HEADER},
+    clients::{EXPECTED_VERSION_HEADER, LEASE_HEADER, VERSION_HEADER},
     http::{Body, Handler, full},
-    kv::{CasOutcome, LeaseId, VALUE_MAX, Version, Versioned},
+    kv::{CasOutcome, LeaseId, MAX_VALUE_BYTES, Version, Versioned},
 };
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, body::Incoming};
 use tokio::{sync::watch, time::Instant};
@@ -167,7 +167,7 @@
         let Ok(value) = reply::read(body).await else {
             return reply::status(StatusCode::BAD_REQUEST);
         };
-        if VALUE_MAX < value.len() {
+        if MAX_VALUE_BYTES < value.len() {
             return reply::status(StatusCode::PAYLOAD_TOO_LARGE);
         }
         match kind {
@@ -178,7 +178,7 @@
             Kind::Write => {
                 let write = Write {
                     key: rest.to_owned(),
-                    expected: Version(number(&parts.headers, EXPECT_HEADER).unwrap_or(0)),
+                    expected: Version(number(&parts.headers, EXPECTED_VERSION_HEADER).unwrap_or(0)),
                     lease: number(&parts.headers, LEASE_HEADER).map(LeaseId),
                     value: (parts.method == Method::PUT).then_some(value),
                 };
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -11,7 +11,7 @@
 use bulrushhall_core::VmName;
 use bulrushhall_external::{
     BoxFuture,
-    clients::FENCE_HEADER,
+    clients::FENCING_NUMBER_HEADER,
     http::{Body, Handler},
 };
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
@@ -154,7 +154,7 @@
     }
 
     fn fence_passes(&self, req: &Request<Incoming>) -> bool {
-        let fence = req.headers().get(FENCE_HEADER).and_then(|fence| fence.to_str().ok());
+        let fence = req.headers().get(FENCING_NUMBER_HEADER).and_then(|fence| fence.to_str().ok());
         let fence: u64 = fence.and_then(|fence| fence.parse().ok()).unwrap_or(0);
         let mut highest = self.fence.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if self.options.checks_fence && fence < *highest {
--- a/crates/standin/tests/engine_model.rs
+++ b/crates/standin/tests/engine_model.rs
@@ -1,6 +1,6 @@
 //! The stand-in engine batches continuously, honours priorities, and resumes exactly.
 
-use bulrushhall_core::{Fence, Incarnation, ModelName, RequestId, Stamp};
+use bulrushhall_core::{FencingNumber, Incarnation, ModelName, RequestId, Stamp};
 use bulrushhall_external::engine::{Frame, Generate, Usage};
 use bulrushhall_standin::engine::{EngineModel, EngineOptions, Output, expected_answer};
 use rstest::rstest;
@@ -14,7 +14,7 @@
         emitted: Vec::new(),
         max_tokens: 40,
         priority,
-        fence: Fence(0),
+        fence: FencingNumber(0),
     }
 }
 
--- a/crates/standin/tests/kv_faults.rs
+++ b/crates/standin/tests/kv_faults.rs
@@ -7,7 +7,7 @@
     CallFault, KeyValue,
     clients::HttpKeyValue,
     http::{Endpoint, EndpointOptions},
-    kv::{CasOutcome, VALUE_MAX, Version},
+    kv::{CasOutcome, MAX_VALUE_BYTES, Version},
 };
 use bulrushhall_standin::{
     kv::{KvOptions, KvServer},
@@ -102,10 +102,10 @@
 #[tokio::test]
 async fn value_limit() {
     let (_server, kv) = start().await;
-    let large = vec![b'x'; VALUE_MAX + 1];
+    let large = vec![b'x'; MAX_VALUE_BYTES + 1];
     let error = kv.put_if("a", Version(0), large.into(), None).await.expect_err("too large");
     assert_eq!((error.fault, error.ran), (CallFault::Refused { status: 413 }, Ran::No));
-    let fits = vec![b'x'; VALUE_MAX];
+    let fits = vec![b'x'; MAX_VALUE_BYTES];
     kv.put_if("a", Version(0), fits.into(), None).await.expect("an outcome");
 }
 
@@ -129,10 +129,10 @@
 #[tokio::test]
 async fn slow_link() {
     let (server, near) = start().await;
-    let value = vec![b'x'; VALUE_MAX];
+    let value = vec![b'x'; MAX_VALUE_BYTES];
     near.put_if("large", Version(0), value.into(), None).await.expect("an outcome");
-    let pace = Arc::new(Pace::new(VALUE_MAX as f64 / 6.0));
+    let pace = Arc::new(Pace::new(MAX_VALUE_BYTES as f64 / 6.0));
     let link = Link::start_paced(server.address(), pace).await.expect("a link");
     let far = HttpKeyValue::new(Endpoint::new(link.address(), EndpointOptions::default()));
-    assert_eq!(far.get("large").await.expect("a value").value.len(), VALUE_MAX);
+    assert_eq!(far.get("large").await.expect("a value").value.len(), MAX_VALUE_BYTES);
 }
