--- a/crates/bench/src/bin/checkpoint_cost.rs
+++ b/crates/bench/src/bin/checkpoint_cost.rs
@@ -53,7 +53,7 @@
 fn play(interval: Duration) -> Cost {
     let own = Incarnation(1);
     let zone = |name| ZoneName::new(name).unwrap_or_else(|_| unreachable!("a valid name"));
-    let options = OwnershipOptions { checkpoint: interval, ..OwnershipOptions::default() };
+    let options = OwnershipOptions { checkpoint_interval: interval, ..OwnershipOptions::default() };
     let mut machine = Ownership::new(own, zone("suva-a"), options);
     let peers = (0..PEERS).map(|at| Peer {
         incarnation: Incarnation(at + 2),
--- a/crates/bench/src/spread/cluster.rs
+++ b/crates/bench/src/spread/cluster.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use bulrushhall_coord::{Condition, Gossip, Send};
+use bulrushhall_coord::{Condition, Gossip, Outgoing};
 use bulrushhall_core::{Incarnation, Revision, Stamp};
 use bulrushhall_daemon::members::Member;
 use rand::{RngExt, SeedableRng, seq::IndexedRandom};
@@ -137,7 +137,7 @@
 
     /// Returns the records that a member holds.
     pub fn held(&self, at: usize) -> usize {
-        self.members[at].machine.held()
+        self.members[at].machine.record_count()
     }
 
     /// Returns whether a member believes another one's present life to be alive.
@@ -316,7 +316,7 @@
                 continue;
             }
             missing = true;
-            let gossip = self.members[at].machine.greeting();
+            let gossip = self.members[at].machine.join_message();
             self.post(at, seed, gossip);
         }
         let pause = if missing { (pause * 2).min(GREET_PAUSE_MAX) } else { GREET_PAUSE };
@@ -352,7 +352,7 @@
         self.push(self.now + WORK_PAUSE, Due::Work);
     }
 
-    fn send_all(&mut self, from: usize, sends: Vec<Send<Member>>) {
+    fn send_all(&mut self, from: usize, sends: Vec<Outgoing<Member>>) {
         for send in sends {
             let Some(to) = self.by_life.get(&send.to).copied() else { continue };
             if self.members[to].sender.incarnation == send.to {
@@ -403,7 +403,7 @@
         }
     }
 
-    fn take(&mut self, to: usize, from: usize, gossip: Gossip<Member>) -> Vec<Send<Member>> {
+    fn take(&mut self, to: usize, from: usize, gossip: Gossip<Member>) -> Vec<Outgoing<Member>> {
         let sender = self.members[from].sender.incarnation;
         let now = self.now;
         let member = &mut self.members[to];
--- a/crates/bench/src/spread/options.rs
+++ b/crates/bench/src/spread/options.rs
@@ -66,11 +66,11 @@
 
     /// Returns what the shape means for the machines.
     pub fn membership(&self) -> MembershipOptions {
-        let flat_max = match self.shape {
+        let max_flat_nodes = match self.shape {
             Shape::Flat => usize::MAX,
             Shape::ByZone => 0,
-            Shape::Daemon => MembershipOptions::default().flat_max,
+            Shape::Daemon => MembershipOptions::default().max_flat_nodes,
         };
-        MembershipOptions { flat_max, ..MembershipOptions::default() }
+        MembershipOptions { max_flat_nodes, ..MembershipOptions::default() }
     }
 }
--- a/crates/cli/src/chain.rs
+++ b/crates/cli/src/chain.rs
@@ -1,6 +1,6 @@
 //! The configuration chain, as commands read and extend it.
 
-use bulrushhall_coord::{Head, Refusal};
+use bulrushhall_coord::{ChainRefusal, Head};
 use bulrushhall_core::Revision;
 use bulrushhall_daemon::config_chain::{self, ApplyError, ApplyProgress};
 use bulrushhall_external::KeyValue;
@@ -33,10 +33,10 @@
     match config_chain::apply_reporting(kv, expected, text, report).await {
         Ok(applied) => Ok(applied.revision),
         Err(ApplyError::Invalid(error)) => Err(invalid(error)),
-        Err(ApplyError::Refused(Refusal::Conflict { expected, found, .. })) => {
+        Err(ApplyError::Refused(ChainRefusal::Conflict { expected, found, .. })) => {
             Err(CliError::Conflict { expected, found })
         }
-        Err(ApplyError::Refused(Refusal::Unreached)) => Err(CliError::Unreached),
+        Err(ApplyError::Refused(ChainRefusal::Unreachable)) => Err(CliError::Unreached),
         Err(ApplyError::Refused(refusal)) => Err(CliError::Refused(refusal.to_string())),
     }
 }
--- a/crates/coord/src/attempts.rs
+++ b/crates/coord/src/attempts.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns whether a call that may run at most once may be tried again.
-    pub fn may_try_again(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         self.ran() == Ran::No
     }
 }
--- a/crates/coord/src/budget.rs
+++ b/crates/coord/src/budget.rs
@@ -65,7 +65,7 @@
         [Purpose::Config, Purpose::Lease, Purpose::Claim, Purpose::Fleet, Purpose::Records];
 
     /// Returns the word that labels metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Purpose::Config => "config",
             Purpose::Lease => "lease",
--- a/crates/coord/src/catch_up.rs
+++ b/crates/coord/src/catch_up.rs
@@ -20,7 +20,7 @@
 
 impl CatchUp {
     /// Notes that another node has `revision` in force, while this one has `own`.
-    pub fn hear(&mut self, now: Stamp, own: Revision, revision: Revision) {
+    pub fn observe(&mut self, now: Stamp, own: Revision, revision: Revision) {
         self.first_heard.retain(|heard, _| own < *heard);
         if own < revision {
             self.first_heard.entry(revision).or_insert(now);
--- a/crates/coord/src/chain.rs
+++ b/crates/coord/src/chain.rs
@@ -34,7 +34,7 @@
     /// Gets the newest revision.
     Read,
     /// Writes the copy of an earlier revision where it is absent.
-    Keep(Revision, Bytes),
+    Archive(Revision, Bytes),
     /// Replaces the newest revision where its key has this version.
     Swap(u64, Bytes),
 }
@@ -60,12 +60,12 @@
     /// The change is accepted under this revision, for certain.
     Accepted(Revision),
     /// The change is not accepted and never will be.
-    Refused(Refusal),
+    Refused(ChainRefusal),
 }
 
-/// A `Refusal` tells why a change was not accepted.
+/// A `ChainRefusal` tells why a change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum ChainRefusal {
     /// Another revision than the expected one is the newest.
     Conflict {
         /// The revision that the change was based on.
@@ -85,7 +85,7 @@
     /// What the key-value service holds is no configuration.
     Malformed(HeadError),
     /// The key-value service can't be reached; nothing was written.
-    Unreached,
+    Unreachable,
     /// The outcome was lost and so many later revisions were added that it can't be looked up.
     Forgotten {
         /// The newest revision.
@@ -128,7 +128,7 @@
     pub fn start(&self) -> ChainStep {
         match Head::fits(&self.text) {
             Ok(()) => ChainStep::Call(Duration::ZERO, ChainCall::Read),
-            Err((bytes, limit)) => ChainStep::Refused(Refusal::TooLong { bytes, limit }),
+            Err((bytes, limit)) => ChainStep::Refused(ChainRefusal::TooLong { bytes, limit }),
         }
     }
 
@@ -153,7 +153,7 @@
         self.failures = 0;
         let head = match Head::decode(value) {
             Ok(head) => head,
-            Err(error) => return ChainStep::Refused(Refusal::Malformed(error)),
+            Err(error) => return ChainStep::Refused(ChainRefusal::Malformed(error)),
         };
         let expected = *self.expected.get_or_insert(head.revision);
         if head.revision != expected {
@@ -175,12 +175,12 @@
     fn settle(&self, ours: Head, value: &[u8]) -> ChainStep {
         let found = match Head::decode(value) {
             Ok(found) => found,
-            Err(error) => return ChainStep::Refused(Refusal::Malformed(error)),
+            Err(error) => return ChainStep::Refused(ChainRefusal::Malformed(error)),
         };
         match found.nonce_of(ours.revision) {
             Some(nonce) if nonce == self.nonce => ChainStep::Accepted(ours.revision),
             None if ours.revision <= found.revision && self.unknown => {
-                ChainStep::Refused(Refusal::Forgotten { found: found.revision })
+                ChainStep::Refused(ChainRefusal::Forgotten { found: found.revision })
             }
             _ => {
                 let expected = self.expected.unwrap_or_default();
@@ -194,7 +194,7 @@
         let may_have_run = ran != Ran::No && matches!(self.state, State::Swapping(..));
         self.unknown |= may_have_run;
         if !self.unknown && ATTEMPTS <= self.failures {
-            return ChainStep::Refused(Refusal::Unreached);
+            return ChainStep::Refused(ChainRefusal::Unreachable);
         }
         ChainStep::Call(pause(self.failures, random), self.call())
     }
@@ -202,26 +202,28 @@
     fn call(&self) -> ChainCall {
         match &self.state {
             State::Reading => ChainCall::Read,
-            State::Keeping(_, head) => ChainCall::Keep(head.revision, head.encode()),
+            State::Keeping(_, head) => ChainCall::Archive(head.revision, head.encode()),
             State::Swapping(version, next) => ChainCall::Swap(*version, next.encode()),
         }
     }
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for ChainRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Conflict { expected, found, .. } => {
+            ChainRefusal::Conflict { expected, found, .. } => {
                 write!(f, "revision {found} is the newest, but the change is based on {expected}")
             }
-            Refusal::TooLong { bytes, limit } => {
+            ChainRefusal::TooLong { bytes, limit } => {
                 write!(f, "the text has {bytes} bytes, {limit} are the most")
             }
-            Refusal::Malformed(error) => write!(f, "the newest revision can't be read: {error}"),
-            Refusal::Unreached => {
+            ChainRefusal::Malformed(error) => {
+                write!(f, "the newest revision can't be read: {error}")
+            }
+            ChainRefusal::Unreachable => {
                 f.write_str("the key-value service can't be reached; nothing was written")
             }
-            Refusal::Forgotten { found } => write!(
+            ChainRefusal::Forgotten { found } => write!(
                 f,
                 "the reply was lost and revision {found} is too far ahead to tell the outcome; \
                  compare the history"
@@ -230,10 +232,10 @@
     }
 }
 
-impl error::Error for Refusal {}
+impl error::Error for ChainRefusal {}
 
-fn conflict(expected: Revision, found: Head) -> Refusal {
-    Refusal::Conflict { expected, found: found.revision, text: found.text }
+fn conflict(expected: Revision, found: Head) -> ChainRefusal {
+    ChainRefusal::Conflict { expected, found: found.revision, text: found.text }
 }
 
 // Many tools and nodes may wait for one service: jitter keeps their calls apart once it is back.
--- a/crates/coord/src/claims/machine.rs
+++ b/crates/coord/src/claims/machine.rs
@@ -35,9 +35,9 @@
     Full,
 }
 
-/// A `Swapped` is how a compare-and-swap ended.
+/// A `SwapResult` is how a compare-and-swap ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Swapped {
+pub enum SwapResult {
     /// The record was written and has this version now.
     Written(u64),
     /// The record had this version and value.
@@ -149,13 +149,13 @@
         now: Stamp,
         wall: u64,
         shard: Shard,
-        swapped: Swapped,
+        swapped: SwapResult,
     ) -> Vec<ClaimsAction> {
         let mut out = Vec::new();
         let Some(state) = self.shards.get_mut(&shard) else { return out };
         let Call::Writing(record, batch) = std::mem::take(&mut state.call) else { return out };
         match swapped {
-            Swapped::Written(version) => {
+            SwapResult::Written(version) => {
                 for key in batch {
                     let home = record.get(&key).map(|home| home.incarnation);
                     if let (Some(_), Some(home)) = (state.waiting.remove(&key), home) {
@@ -164,11 +164,11 @@
                 }
                 state.seen = Some((version, record));
             }
-            Swapped::Conflict(version, bytes) => match decode(bytes) {
+            SwapResult::Conflict(version, bytes) => match decode(bytes) {
                 Some(record) => state.see((version, record), &mut out),
                 None => state.resume_at = now + self.options.pause,
             },
-            Swapped::Failed => {
+            SwapResult::Failed => {
                 state.seen = None;
                 state.resume_at = now + self.options.pause;
             }
--- a/crates/coord/src/claims/mod.rs
+++ b/crates/coord/src/claims/mod.rs
@@ -4,6 +4,6 @@
 mod options;
 mod record;
 
-pub use machine::{ClaimRefusal, Claims, ClaimsAction, Swapped};
+pub use machine::{ClaimRefusal, Claims, ClaimsAction, SwapResult};
 pub use options::{ClaimsOptions, Shard};
 pub use record::KeyHash;
--- a/crates/coord/src/entries.rs
+++ b/crates/coord/src/entries.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The addresses that a caller is told at most.
-pub const ADDRESSES: usize = 4;
+pub const MAX_ADDRESSES: usize = 4;
 
 /// A `Candidate` is a node that callers may be sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -18,7 +18,7 @@
     /// The part of the time that the holder does not count on, for clocks that run apart.
     pub margin: Duration,
     /// The time between two renewals, and between two looks at another's lease.
-    pub pause: Duration,
+    pub renew_interval: Duration,
     /// The longest time that an order of an earlier holder may still be on its way.
     pub order_timeout: Duration,
 }
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The life that holds the duty.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The lease that the key is tied to.
     pub lease: u64,
 }
@@ -103,7 +103,7 @@
         LeaseOptions {
             ttl: Duration::from_secs(10),
             margin: Duration::from_secs(2),
-            pause: Duration::from_secs(3),
+            renew_interval: Duration::from_secs(3),
             order_timeout: Duration::from_secs(2),
         }
     }
@@ -127,14 +127,14 @@
 impl Holder {
     /// Returns the value that the duty's key has.
     pub fn encode(self) -> String {
-        format!("{} {:x}", self.life, self.lease)
+        format!("{} {:x}", self.incarnation, self.lease)
     }
 
     /// Reads the value of a duty's key.
     pub fn decode(value: &str) -> Option<Holder> {
         let (life, lease) = value.split_once(' ')?;
         let lease = u64::from_str_radix(lease, 16).ok()?;
-        Some(Holder { life: life.parse().ok()?, lease })
+        Some(Holder { incarnation: life.parse().ok()?, lease })
     }
 }
 
@@ -194,7 +194,7 @@
             }
             // The reply to an earlier claim was lost, but the claim took effect.
             (State::Claiming { lease, granted }, LeaseReply::Taken(fence, holder))
-                if holder == (Holder { life: self.own, lease }) =>
+                if holder == (Holder { incarnation: self.own, lease }) =>
             {
                 self.gain(now, lease, granted, fence);
             }
@@ -206,7 +206,7 @@
                 hold.until = self.until(sent);
                 self.state = State::Holding { lease, hold };
                 self.failures = 0;
-                self.due = now + self.options.pause;
+                self.due = now + self.options.renew_interval;
             }
             (State::Releasing, _) => {
                 self.state = State::Without;
@@ -250,13 +250,13 @@
     }
 
     fn wait(&mut self, now: Stamp, random: &mut dyn Rng) {
-        self.due = now + self.options.pause.mul_f64(random.random_range(0.8..1.2));
+        self.due = now + self.options.renew_interval.mul_f64(random.random_range(0.8..1.2));
     }
 
     // All nodes lose the service at once and would all come back at once.
     fn back_off(&mut self, now: Stamp, random: &mut dyn Rng) {
         self.failures += 1;
-        let full = self.options.pause.mul_f64(0.25) * (1 << self.failures.min(4));
+        let full = self.options.renew_interval.mul_f64(0.25) * (1 << self.failures.min(4));
         self.due = now + full.mul_f64(random.random_range(0.5..1.0));
     }
 }
--- a/crates/coord/src/ledger.rs
+++ b/crates/coord/src/ledger.rs
@@ -64,7 +64,7 @@
     /// Claims a key for a call whose body hashes to `body`.
     pub fn claim(&mut self, now: Stamp, team: &TeamName, key: &Bytes, body: u64) -> Claim {
         let name = (team.clone(), key.clone());
-        if let Some(known) = self.look(team, key, body) {
+        if let Some(known) = self.get(team, key, body) {
             return known;
         }
         if self.options.claims <= self.claims.len() {
@@ -103,7 +103,7 @@
     }
 
     /// Returns what is known of a key without claiming it; none if it is new.
-    pub fn look(&self, team: &TeamName, key: &Bytes, body: u64) -> Option<Claim> {
+    pub fn get(&self, team: &TeamName, key: &Bytes, body: u64) -> Option<Claim> {
         let entry = self.claims.get(&(team.clone(), key.clone()))?;
         if entry.body != body {
             return Some(Claim::OtherBody);
--- a/crates/coord/src/membership.rs
+++ b/crates/coord/src/membership.rs
@@ -29,7 +29,7 @@
 
 /// A `Send` is a message that the machine wants sent.
 #[derive(Clone, Debug)]
-pub struct Send<V> {
+pub struct Outgoing<V> {
     /// The life that it is meant for.
     pub to: Incarnation,
     /// What it says.
@@ -104,7 +104,7 @@
     }
 
     /// Returns the number of records that are held, removed ones included.
-    pub fn held(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.roster.known.len()
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Marks this node as leaving for the rest of its life and tells others at once.
-    pub fn leave(&mut self, random: &mut dyn Rng) -> Vec<Send<V>> {
+    pub fn leave(&mut self, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
         if self.own().condition != Condition::Alive {
             return Vec::new();
         }
@@ -127,7 +127,7 @@
     }
 
     /// Lets time pass; returns the messages of the round that is due.
-    pub fn tick(&mut self, now: Stamp, random: &mut dyn Rng) -> Vec<Send<V>> {
+    pub fn tick(&mut self, now: Stamp, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
         if now < self.next_round {
             return Vec::new();
         }
@@ -152,7 +152,7 @@
         from: Incarnation,
         gossip: Gossip<V>,
         random: &mut dyn Rng,
-    ) -> Vec<Send<V>> {
+    ) -> Vec<Outgoing<V>> {
         self.roster.now = self.roster.now.max(now);
         let mut answer = Gossip::default();
         let mut urgent = Vec::new();
@@ -190,13 +190,13 @@
         }
         let mut sends = self.tell_at_once(urgent, random);
         if !answer.is_empty() {
-            sends.push(Send { to: from, gossip: answer });
+            sends.push(Outgoing { to: from, gossip: answer });
         }
         sends
     }
 
     /// Returns what a node sends to an address that it was started with.
-    pub fn greeting(&self) -> Gossip<V> {
+    pub fn join_message(&self) -> Gossip<V> {
         let records = vec![self.own().clone()];
         Gossip { records, joins: true, ..Gossip::default() }
     }
@@ -266,7 +266,7 @@
         answer.lists.push(summary.zone);
     }
 
-    fn round(&mut self, random: &mut dyn Rng) -> Vec<Send<V>> {
+    fn round(&mut self, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
         let zone = self.own().zone.clone();
         let records = self.take_fresh();
         let own_summary = self.own_summary();
@@ -282,7 +282,7 @@
         };
         let mut sends = Vec::new();
         for to in self.roster.domain().sample(random, self.options.fanout) {
-            sends.push(Send { to: *to, gossip: gossip.clone() });
+            sends.push(Outgoing { to: *to, gossip: gossip.clone() });
         }
         self.far_fresh.extend(records.into_iter().map(|record| record.incarnation));
         let far_due = self.next_far <= self.roster.now;
@@ -298,7 +298,7 @@
         let zones = own_summary.into_iter().collect();
         let gossip = Gossip { records, zones, ..Gossip::default() };
         for to in self.far_relays(random) {
-            sends.push(Send { to, gossip: gossip.clone() });
+            sends.push(Outgoing { to, gossip: gossip.clone() });
         }
         sends
     }
@@ -335,7 +335,7 @@
         records.filter(|record| record.zone == *zone).take(RECORDS_MAX).cloned().collect()
     }
 
-    fn tell_at_once(&self, urgent: Vec<Record<V>>, random: &mut dyn Rng) -> Vec<Send<V>> {
+    fn tell_at_once(&self, urgent: Vec<Record<V>>, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
         if urgent.is_empty() {
             return Vec::new();
         }
@@ -351,7 +351,7 @@
             to.extend(relays);
             to.remove(&self.roster.own);
         }
-        to.into_iter().map(|to| Send { to, gossip: gossip.clone() }).collect()
+        to.into_iter().map(|to| Outgoing { to, gossip: gossip.clone() }).collect()
     }
 
     // One relay of each far zone; of a silent zone any member, lest it be lost for good when
--- a/crates/coord/src/membership_options.rs
+++ b/crates/coord/src/membership_options.rs
@@ -32,7 +32,7 @@
     /// How long a removed member's record is kept, so that older news can't bring it back.
     pub forget: Duration,
     /// The most nodes that form one domain; above it each availability zone is one.
-    pub flat_max: usize,
+    pub max_flat_nodes: usize,
 }
 
 impl Default for MembershipOptions {
@@ -51,7 +51,7 @@
             dead_rounds: 14,
             repeats: 5,
             forget: Duration::from_secs(7_200),
-            flat_max: 48,
+            max_flat_nodes: 48,
         }
     }
 }
@@ -73,6 +73,6 @@
 
     /// Returns whether all nodes form one domain, whatever their number.
     pub fn always_flat(&self) -> bool {
-        self.flat_max == usize::MAX
+        self.max_flat_nodes == usize::MAX
     }
 }
--- a/crates/coord/src/ownership/machine.rs
+++ b/crates/coord/src/ownership/machine.rs
@@ -21,7 +21,7 @@
     /// Send a message to a life of a node.
     Send(Incarnation, Message),
     /// Tell the caller that the request is accepted.
-    Accepted(RequestId, Copied),
+    Accepted(RequestId, CopyLocation),
     /// Run the request from the given tokens on; this node owns it now.
     Start {
         /// The request.
@@ -54,9 +54,9 @@
     },
 }
 
-/// A `Copied` tells where the copy of an accepted request is.
+/// A `CopyLocation` tells where the copy of an accepted request is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Copied {
+pub enum CopyLocation {
     /// A peer has it.
     At(Incarnation),
     /// No peer took it: the request is lost with this node.
@@ -204,7 +204,7 @@
     }
 
     /// Returns the node that a request went to from here.
-    pub fn went_to(&self, id: RequestId) -> Option<Incarnation> {
+    pub fn moved_to(&self, id: RequestId) -> Option<Incarnation> {
         let Some(Row::Gone(gone)) = self.rows.get(&id) else { return None };
         Some(gone.version.owner)
     }
@@ -326,7 +326,8 @@
             return;
         }
         owned.stage = Stage::Settled;
-        let copied = owned.holder.as_ref().map_or(Copied::Nowhere, |it| Copied::At(it.peer));
+        let copied =
+            owned.holder.as_ref().map_or(CopyLocation::Nowhere, |it| CopyLocation::At(it.peer));
         if owned.before.is_none() {
             out.push(Action::Accepted(id, copied));
         }
@@ -371,7 +372,7 @@
         if waits {
             return;
         }
-        if holder.has && now.since(holder.last_sent) < self.options.checkpoint {
+        if holder.has && now.since(holder.last_sent) < self.options.checkpoint_interval {
             self.dirty.insert(id);
             return;
         }
--- a/crates/coord/src/ownership/mod.rs
+++ b/crates/coord/src/ownership/mod.rs
@@ -8,7 +8,7 @@
 mod row;
 mod sweep;
 
-pub use machine::{Action, Copied, Ownership};
+pub use machine::{Action, CopyLocation, Ownership};
 pub use message::{Message, Version};
 pub use options::OwnershipOptions;
 pub use peers::Peer;
--- a/crates/coord/src/ownership/options.rs
+++ b/crates/coord/src/ownership/options.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnershipOptions {
     /// The shortest time between two checkpoints of one request.
-    pub checkpoint: Duration,
+    pub checkpoint_interval: Duration,
     /// How long an answer to a message is waited for before it is sent again.
     pub retry: Duration,
     /// How long a holder may leave checkpoints unanswered before another is chosen.
@@ -32,7 +32,7 @@
 impl Default for OwnershipOptions {
     fn default() -> Self {
         OwnershipOptions {
-            checkpoint: Duration::from_millis(4),
+            checkpoint_interval: Duration::from_millis(4),
             retry: Duration::from_millis(300),
             holder_timeout: Duration::from_millis(1_500),
             copy_timeout: Duration::from_millis(300),
--- a/crates/coord/src/relays.rs
+++ b/crates/coord/src/relays.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct RelayOptions {
     /// The most nodes that exchange news with each other directly.
-    pub flat_max: usize,
+    pub max_flat_nodes: usize,
     /// The relays of an availability zone that are heard.
     pub relays: usize,
     /// The silent nodes that are asked in a zone beside those, in the hope that they are back.
@@ -21,7 +21,7 @@
 impl Default for RelayOptions {
     fn default() -> Self {
         RelayOptions {
-            flat_max: 16,
+            max_flat_nodes: 16,
             relays: 1,
             silent_asked: 2,
             silent_after: Duration::from_millis(600),
@@ -70,7 +70,7 @@
 
 impl RelayPlan {
     /// Returns whether a node is one of the relays that this one exchanges news with.
-    pub fn names(&self, node: &NodeName) -> bool {
+    pub fn includes(&self, node: &NodeName) -> bool {
         self.near.contains(node) || self.far.contains(node)
     }
 }
@@ -85,7 +85,7 @@
         &self,
         own: RelayPeer<'a>,
         others: impl IntoIterator<Item = RelayPeer<'a>>,
-        is_asked: IsAsked,
+        is_asked: RelayRequested,
     ) -> RelayPlan {
         let mut zones: BTreeMap<&ZoneName, Vec<RelayPeer<'a>>> = BTreeMap::new();
         zones.entry(own.zone).or_default().push(RelayPeer { silent: false, ..own });
@@ -94,7 +94,7 @@
             zones.entry(peer.zone).or_default().push(peer);
             nodes += 1;
         }
-        if nodes <= self.flat_max {
+        if nodes <= self.max_flat_nodes {
             return RelayPlan::default();
         }
         let mut plan = RelayPlan { role: Role::Member, ..RelayPlan::default() };
@@ -113,7 +113,7 @@
                 }
             }
         }
-        if is_asked == IsAsked::Yes {
+        if is_asked == RelayRequested::Yes {
             plan.role = Role::Relay;
         }
         if plan.role != Role::Relay {
@@ -149,7 +149,7 @@
 
 /// Whether another node takes this one for a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IsAsked {
+pub enum RelayRequested {
     /// It was asked as a relay lately.
     Yes,
     /// Nobody asked it as a relay lately.
--- a/crates/coord/src/roster.rs
+++ b/crates/coord/src/roster.rs
@@ -97,7 +97,7 @@
             }
         }
         let own_zone = &self.known[&self.own].record.zone;
-        let flat = alive <= self.options.flat_max;
+        let flat = alive <= self.options.max_flat_nodes;
         let domain = if flat { alive } else { self.zones[own_zone].members };
         self.period = self.options.period(domain);
         if flat == self.flat {
--- a/crates/coord/src/news_sources.rs
+++ b/crates/coord/src/update_sources.rs
@@ -10,9 +10,9 @@
 /// still heard. Relays hear of a node that starts one after the other.
 const MORE_NODES: u32 = 2;
 
-/// A `NewsScope` tells which nodes passed-on news is about.
+/// A `UpdateScope` tells which nodes passed-on news is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum NewsScope {
+pub enum UpdateScope {
     /// All nodes but the one that is told.
     Others,
     /// The nodes of one availability zone.
@@ -33,49 +33,49 @@
     /// Its news are left out: those of another one, which are about the same nodes, are taken in.
     Ignored,
     /// Its news are taken in; what `before` told must be dropped.
-    Taken {
+    Accepted {
         /// The relay that was listened to before.
-        before: Option<Incarnation>,
+        previous: Option<Incarnation>,
     },
 }
 
-/// `NewsSources` know which relay is listened to for each scope.
+/// `UpdateSources` know which relay is listened to for each scope.
 ///
 /// Sums of two relays of one zone are about the same requests. Taken in from both, each request would
 /// count twice.
 #[derive(Clone, Debug, Default)]
-pub struct NewsSources {
-    sources: BTreeMap<NewsScope, NewsSource>,
+pub struct UpdateSources {
+    sources: BTreeMap<UpdateScope, NewsSource>,
 }
 
-impl NewsSources {
+impl UpdateSources {
     /// Notes that a relay tells of `nodes` nodes; returns whether it is listened to.
     pub fn offer(
         &mut self,
         now: Stamp,
-        scope: NewsScope,
+        scope: UpdateScope,
         life: Incarnation,
         nodes: u32,
     ) -> SourceChoice {
         let offered = NewsSource { life, nodes, at: now };
         let Some(source) = self.sources.get_mut(&scope) else {
             self.sources.insert(scope, offered);
-            return SourceChoice::Taken { before: None };
+            return SourceChoice::Accepted { previous: None };
         };
         if source.life == life {
             *source = offered;
-            return SourceChoice::Taken { before: None };
+            return SourceChoice::Accepted { previous: None };
         }
         let is_heard = now.since(source.at) < SILENT_AFTER;
         if is_heard && nodes < source.nodes + MORE_NODES {
             return SourceChoice::Ignored;
         }
         let before = std::mem::replace(source, offered).life;
-        SourceChoice::Taken { before: Some(before) }
+        SourceChoice::Accepted { previous: Some(before) }
     }
 
     /// Returns whether a life is listened to for some scope.
-    pub fn has(&self, life: Incarnation) -> bool {
+    pub fn contains(&self, life: Incarnation) -> bool {
         self.sources.values().any(|source| source.life == life)
     }
 
--- a/crates/coord/src/usage.rs
+++ b/crates/coord/src/usage.rs
@@ -37,7 +37,7 @@
 /// A node that starts while its time of day is wrong would count in windows of another time, and as the
 /// holder of the duty fix reports of windows that have not ended. The middle of all nodes' times, its own
 /// included, is right as long as most are.
-pub fn correction(ahead: impl IntoIterator<Item = i64>) -> i64 {
+pub fn clock_correction(ahead: impl IntoIterator<Item = i64>) -> i64 {
     let mut ahead: Vec<i64> = ahead.into_iter().chain([0]).collect();
     ahead.sort_unstable();
     ahead[(ahead.len() - 1) / 2]
@@ -71,11 +71,11 @@
     counts: TeamCounts,
 }
 
-/// A `UsageOf` tells whose counts are taken in.
+/// A `UsageScope` tells whose counts are taken in.
 #[derive(Clone, Copy, Debug)]
-pub enum UsageOf<'a> {
+pub enum UsageScope<'a> {
     /// One life of a node in an availability zone.
-    Life(Incarnation, &'a ZoneName),
+    Incarnation(Incarnation, &'a ZoneName),
     /// All nodes of an availability zone.
     Zone(&'a ZoneName),
     /// All nodes but this one.
@@ -84,7 +84,7 @@
 
 /// Which windows are told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ToldWindows {
+pub enum WindowSelection {
     /// The newest ones, whose counts still change.
     Newest,
     /// All that are kept, for nodes that started or lost messages.
@@ -103,14 +103,14 @@
     }
 
     /// Takes in what was told of one window.
-    pub fn merge(&mut self, window: Window, of: UsageOf<'_>, told: &TeamCounts) {
+    pub fn merge(&mut self, window: Window, of: UsageScope<'_>, told: &TeamCounts) {
         let known = match of {
-            UsageOf::Life(life, zone) => self.life(window, life, zone),
-            UsageOf::Zone(zone) => {
+            UsageScope::Incarnation(life, zone) => self.life(window, life, zone),
+            UsageScope::Zone(zone) => {
                 let zones = &mut self.windows.entry(window).or_default().zones;
                 zones.entry(zone.clone()).or_default()
             }
-            UsageOf::Others => &mut self.windows.entry(window).or_default().others,
+            UsageScope::Others => &mut self.windows.entry(window).or_default().others,
         };
         raise(known, told);
         self.forget_old();
@@ -123,28 +123,32 @@
     }
 
     /// Returns the windows of one life of a node, to be told to others.
-    pub fn of(&self, life: Incarnation, which: ToldWindows) -> Vec<(Window, TeamCounts)> {
+    pub fn of(&self, life: Incarnation, which: WindowSelection) -> Vec<(Window, TeamCounts)> {
         self.told(which, |window| {
             window.lives.get(&life).map_or_else(TeamCounts::new, |known| known.counts.clone())
         })
     }
 
     /// Returns the windows of all nodes of a zone, to be told to other zones.
-    pub fn of_zone(&self, zone: &ZoneName, which: ToldWindows) -> Vec<(Window, TeamCounts)> {
+    pub fn of_zone(&self, zone: &ZoneName, which: WindowSelection) -> Vec<(Window, TeamCounts)> {
         self.told(which, |window| window.of_zone(zone, None))
     }
 
     /// Returns the windows of all nodes but one life, to be told to that one.
-    pub fn of_others(&self, life: Incarnation, which: ToldWindows) -> Vec<(Window, TeamCounts)> {
+    pub fn of_others(
+        &self,
+        life: Incarnation,
+        which: WindowSelection,
+    ) -> Vec<(Window, TeamCounts)> {
         self.told(which, |window| window.of_all(Some(life)))
     }
 
     fn told(
         &self,
-        which: ToldWindows,
+        which: WindowSelection,
         counts: impl Fn(&WindowCounts) -> TeamCounts,
     ) -> Vec<(Window, TeamCounts)> {
-        let most = if which == ToldWindows::All { usize::MAX } else { WINDOWS_NEWEST };
+        let most = if which == WindowSelection::All { usize::MAX } else { WINDOWS_NEWEST };
         let mut told = Vec::new();
         for (window, known) in self.windows.iter().rev().take(most) {
             let counts = counts(known);
--- a/crates/coord/tests/attempt_schedules.rs
+++ b/crates/coord/tests/attempt_schedules.rs
@@ -100,7 +100,7 @@
             attempts.begin();
             let Some(ran) = seen(fate) else { break };
             attempts.end(ran);
-            if !attempts.may_try_again() {
+            if !attempts.may_retry() {
                 break;
             }
         }
@@ -114,5 +114,5 @@
     broken.twice += u64::from(1 < runs);
     broken.untrue += u64::from(0 < runs && attempts.ran() == Ran::No);
     let certain = fates.iter().all(|fate| matches!(fate, Fate::NotOpened | Fate::Rejected));
-    broken.given_up += u64::from(certain && !attempts.may_try_again());
+    broken.given_up += u64::from(certain && !attempts.may_retry());
 }
--- a/crates/coord/tests/catching_up.rs
+++ b/crates/coord/tests/catching_up.rs
@@ -17,7 +17,7 @@
 fn one_at_a_time() {
     let mut catch_up = CatchUp::default();
     for _ in 0..20 {
-        catch_up.hear(at(0), OWN, Revision(7));
+        catch_up.observe(at(0), OWN, Revision(7));
     }
     let begun = (0..20).filter(|_| catch_up.begin(at(600), OWN, Revision(7), PATIENCE)).count();
     assert_eq!(begun, 1);
@@ -29,7 +29,7 @@
 #[test]
 fn service_first() {
     let mut catch_up = CatchUp::default();
-    catch_up.hear(at(100), OWN, Revision(7));
+    catch_up.observe(at(100), OWN, Revision(7));
     assert!(!catch_up.begin(at(599), OWN, Revision(7), PATIENCE));
     // It came meanwhile.
     assert!(!catch_up.begin(at(600), Revision(7), Revision(7), PATIENCE));
@@ -40,11 +40,11 @@
 #[test]
 fn behind_since() {
     let mut catch_up = CatchUp::default();
-    catch_up.hear(at(100), OWN, OWN);
+    catch_up.observe(at(100), OWN, OWN);
     assert_eq!(catch_up.behind_since(OWN), None);
-    catch_up.hear(at(200), OWN, Revision(7));
-    catch_up.hear(at(300), OWN, Revision(9));
-    catch_up.hear(at(400), OWN, Revision(7));
+    catch_up.observe(at(200), OWN, Revision(7));
+    catch_up.observe(at(300), OWN, Revision(9));
+    catch_up.observe(at(400), OWN, Revision(7));
     assert_eq!(catch_up.behind_since(OWN), Some(at(200)));
     assert_eq!(catch_up.behind_since(Revision(7)), Some(at(300)));
     assert_eq!(catch_up.behind_since(Revision(9)), None);
--- a/crates/coord/tests/cluster/check.rs
+++ b/crates/coord/tests/cluster/check.rs
@@ -1,6 +1,6 @@
 //! Checks over the trace of one schedule; none looks into the machines.
 
-use bulrushhall_coord::Copied;
+use bulrushhall_coord::CopyLocation;
 
 use super::{
     plan::{Plan, Spacing, TroubleKind},
@@ -76,8 +76,9 @@
 
 // Troubles that come one after the other, each once the last is repaired, lose nothing.
 fn nothing_lost(plan: &Plan, trace: &[Event]) -> Option<Fault> {
-    let copied =
-        trace.iter().any(|event| matches!(event, Event::Accepted { copied: Copied::At(_), .. }));
+    let copied = trace
+        .iter()
+        .any(|event| matches!(event, Event::Accepted { copied: CopyLocation::At(_), .. }));
     let crashes = plan.troubles.iter().filter(|it| it.kind == TroubleKind::Crash).count();
     let within = plan.spaced == Spacing::Apart || crashes <= 1 && plan.troubles.len() <= 1;
     let whole = trace.contains(&Event::Quiet { whole: true });
@@ -85,8 +86,8 @@
 }
 
 fn real_copies(trace: &[Event]) -> Option<Fault> {
-    let empty = trace
-        .iter()
-        .any(|event| matches!(event, Event::Accepted { copied: Copied::At(_), really: false }));
+    let empty = trace.iter().any(|event| {
+        matches!(event, Event::Accepted { copied: CopyLocation::At(_), really: false })
+    });
     empty.then_some(Fault::NoCopy)
 }
--- a/crates/coord/tests/cluster/trace.rs
+++ b/crates/coord/tests/cluster/trace.rs
@@ -1,12 +1,12 @@
 //! What happened in a schedule, as checkers see it.
 
-use bulrushhall_coord::Copied;
+use bulrushhall_coord::CopyLocation;
 
 /// An `Event` is one thing that happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The request was accepted; `copied` tells whether the named peer really has it.
-    Accepted { copied: Copied, really: bool },
+    Accepted { copied: CopyLocation, really: bool },
     /// Another node owns the request now and runs it from what was copied.
     Resumed,
     /// A run came to its end with this text.
--- a/crates/coord/tests/cluster/world.rs
+++ b/crates/coord/tests/cluster/world.rs
@@ -2,7 +2,9 @@
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
-use bulrushhall_coord::{Action, Copied, Message, Ownership, OwnershipOptions, Peer, Version};
+use bulrushhall_coord::{
+    Action, CopyLocation, Message, Ownership, OwnershipOptions, Peer, Version,
+};
 use bulrushhall_core::{Incarnation, RequestId, Stamp, ZoneName};
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
@@ -269,8 +271,8 @@
                 Action::Send(to, message) => self.send(at, to, message, mail),
                 Action::Accepted(_, copied) => {
                     let really = match copied {
-                        Copied::At(peer) => self.has_copy(peer),
-                        Copied::Nowhere => false,
+                        CopyLocation::At(peer) => self.has_copy(peer),
+                        CopyLocation::Nowhere => false,
                     };
                     self.trace.push(Event::Accepted { copied, really });
                 }
@@ -308,7 +310,7 @@
             || kept
             || node.machine.held_body(id()).is_some()
             || node.machine.version(id()).is_some()
-            || node.machine.went_to(id()).is_some()
+            || node.machine.moved_to(id()).is_some()
     }
 
     fn send(
--- a/crates/coord/tests/config_chain.rs
+++ b/crates/coord/tests/config_chain.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use bulrushhall_coord::{ChainCall, ChainReply, ChainStep, ChainWriter, Head, Refusal};
+use bulrushhall_coord::{ChainCall, ChainRefusal, ChainReply, ChainStep, ChainWriter, Head};
 use bulrushhall_core::{Ran, Revision};
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
@@ -31,7 +31,7 @@
     fn call(&mut self, call: ChainCall) -> ChainReply {
         match call {
             ChainCall::Read => ChainReply::Found(self.head.0, self.head.1.clone()),
-            ChainCall::Keep(revision, value) => {
+            ChainCall::Archive(revision, value) => {
                 self.kept.entry(revision.0).or_insert(value);
                 ChainReply::Written
             }
@@ -80,7 +80,7 @@
 #[derive(Debug, PartialEq)]
 enum End {
     Accepted(Revision),
-    Refused(Refusal),
+    Refused(ChainRefusal),
 }
 
 /// Checks that what writers were told is what the chain holds.
@@ -146,7 +146,7 @@
 fn checker_sees_fault() {
     let mut service = Service::default();
     let head = Head::default().next(7, "late".to_owned());
-    let told = vec![("late".to_owned(), End::Refused(Refusal::Unreached))];
+    let told = vec![("late".to_owned(), End::Refused(ChainRefusal::Unreachable))];
     service.swap(0, head.encode());
     assert!(check(&service, &told).is_err());
     let told = vec![("other".to_owned(), End::Accepted(Revision(1)))];
@@ -163,8 +163,11 @@
     assert_eq!(run(&mut service, &mut random, 0.0, first), End::Accepted(Revision(1)));
     let second = ChainWriter::new(Some(Revision(0)), "second", 2);
     let refused = run(&mut service, &mut random, 0.0, second);
-    let conflict =
-        Refusal::Conflict { expected: Revision(0), found: Revision(1), text: "first".to_owned() };
+    let conflict = ChainRefusal::Conflict {
+        expected: Revision(0),
+        found: Revision(1),
+        text: "first".to_owned(),
+    };
     assert_eq!(refused, End::Refused(conflict));
 }
 
@@ -197,7 +200,7 @@
 #[test]
 fn too_long() {
     let writer = ChainWriter::new(None, "x".repeat(1 << 20), 1);
-    let ChainStep::Refused(Refusal::TooLong { bytes, limit }) = writer.start() else {
+    let ChainStep::Refused(ChainRefusal::TooLong { bytes, limit }) = writer.start() else {
         panic!("taken")
     };
     assert_eq!(bytes, 1 << 20);
--- a/crates/coord/tests/entry_order.rs
+++ b/crates/coord/tests/entry_order.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_coord::{
     Candidate, Headroom,
-    entries::{ADDRESSES, order},
+    entries::{MAX_ADDRESSES, order},
 };
 use bulrushhall_core::{Incarnation, ZoneName};
 use rstest::rstest;
@@ -26,7 +26,7 @@
     let mut firsts = BTreeMap::new();
     for caller in 0..CALLERS {
         let caller = xxh3_64(&caller.to_le_bytes());
-        firsts.insert(caller, order(caller, candidates, ADDRESSES)[0].incarnation);
+        firsts.insert(caller, order(caller, candidates, MAX_ADDRESSES)[0].incarnation);
     }
     firsts
 }
@@ -48,8 +48,8 @@
 fn two_zones_first(#[case] nodes: u64, #[case] zones: u64) {
     let candidates = candidates(nodes, zones);
     for caller in 0..CALLERS {
-        let ordered = order(xxh3_64(&caller.to_le_bytes()), &candidates, ADDRESSES);
-        assert_eq!(ordered.len(), ADDRESSES);
+        let ordered = order(xxh3_64(&caller.to_le_bytes()), &candidates, MAX_ADDRESSES);
+        assert_eq!(ordered.len(), MAX_ADDRESSES);
         assert_ne!(ordered[0].zone, ordered[1].zone);
     }
 }
@@ -99,8 +99,8 @@
 
 #[test]
 fn no_candidates() {
-    assert!(order(1, &[], ADDRESSES).is_empty());
-    assert_eq!(order(1, &candidates(1, 1), ADDRESSES).len(), 1);
+    assert!(order(1, &[], MAX_ADDRESSES).is_empty());
+    assert_eq!(order(1, &candidates(1, 1), MAX_ADDRESSES).len(), 1);
 }
 
 // Load that swings about a limit would move callers to and fro and tell all nodes each time.
--- a/crates/coord/tests/orders/store.rs
+++ b/crates/coord/tests/orders/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use bulrushhall_coord::{Shard, Swapped};
+use bulrushhall_coord::{Shard, SwapResult};
 use bytes::Bytes;
 
 /// A `Store` holds versioned records.
@@ -17,13 +17,13 @@
         self.records.get(&shard).cloned().unwrap_or_default()
     }
 
-    pub fn swap(&mut self, shard: Shard, expected: u64, value: Bytes) -> Swapped {
+    pub fn swap(&mut self, shard: Shard, expected: u64, value: Bytes) -> SwapResult {
         let (version, found) = self.get(shard);
         if version != expected {
-            return Swapped::Conflict(version, found);
+            return SwapResult::Conflict(version, found);
         }
         self.version += 1;
         self.records.insert(shard, (self.version, value));
-        Swapped::Written(self.version)
+        SwapResult::Written(self.version)
     }
 }
--- a/crates/coord/tests/orders/world.rs
+++ b/crates/coord/tests/orders/world.rs
@@ -8,7 +8,7 @@
 
 use bulrushhall_coord::{
     Attempts, Claim, Claims, ClaimsAction, ClaimsOptions, KeyHash, Ledger, LedgerOptions, Shard,
-    Swapped,
+    SwapResult,
 };
 use bulrushhall_core::{Incarnation, Ran, Stamp, TeamName};
 use bytes::Bytes;
@@ -194,12 +194,12 @@
                     return;
                 }
                 let swapped = match reply {
-                    Reply::Written(version) => Swapped::Written(version),
-                    Reply::Conflict(version, bytes) => Swapped::Conflict(version, bytes),
+                    Reply::Written(version) => SwapResult::Written(version),
+                    Reply::Conflict(version, bytes) => SwapResult::Conflict(version, bytes),
                     Reply::Failed if self.plan.mutant == Some(Mutant::TrustsSilence) => {
-                        Swapped::Written(u64::MAX)
+                        SwapResult::Written(u64::MAX)
                     }
-                    Reply::Failed => Swapped::Failed,
+                    Reply::Failed => SwapResult::Failed,
                 };
                 let actions = self.nodes[at].claims.swapped(now, wall, Shard(shard), swapped);
                 self.carry_out(at, actions);
@@ -250,9 +250,9 @@
             return;
         }
         let reply = match self.store.swap(Shard(shard), version, record) {
-            Swapped::Written(version) => Reply::Written(version),
-            Swapped::Conflict(version, bytes) => Reply::Conflict(version, bytes),
-            Swapped::Failed => Reply::Failed,
+            SwapResult::Written(version) => Reply::Written(version),
+            SwapResult::Conflict(version, bytes) => Reply::Conflict(version, bytes),
+            SwapResult::Failed => Reply::Failed,
         };
         let lost = self.random.random_bool(self.trouble.lost);
         self.after(time, Step::Swap(at, life, shard, if lost { Reply::Failed } else { reply }));
--- a/crates/coord/tests/relay_plan.rs
+++ b/crates/coord/tests/relay_plan.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bulrushhall_coord::{
-    IsAsked, NewsScope, NewsSources, RelayOptions, RelayPeer, RelayPlan, Role, SourceChoice,
+    RelayOptions, RelayPeer, RelayPlan, RelayRequested, Role, SourceChoice, UpdateScope,
+    UpdateSources,
 };
 use bulrushhall_core::{Incarnation, NodeName, Stamp, ZoneName};
 use rstest::rstest;
@@ -30,7 +31,7 @@
         });
         let mut peers: Vec<RelayPeer<'_>> = peers.collect();
         let own = peers.remove(at);
-        RelayOptions::default().plan(own, peers, IsAsked::No)
+        RelayOptions::default().plan(own, peers, RelayRequested::No)
     }
 
     fn plans(&self) -> BTreeMap<NodeName, RelayPlan> {
@@ -117,7 +118,7 @@
     for at in 0..peers.len() {
         let mut others = peers.clone();
         let own = others.remove(at);
-        let plan = RelayOptions::default().plan(own, others, IsAsked::Yes);
+        let plan = RelayOptions::default().plan(own, others, RelayRequested::Yes);
         assert_eq!(plan.role, Role::Relay);
         assert!(!plan.far.is_empty());
     }
@@ -128,17 +129,17 @@
 fn one_source() {
     let at = Stamp::from_millis;
     let (one, other) = (Incarnation(1), Incarnation(2));
-    let mut sources = NewsSources::default();
-    let scope = || NewsScope::Others;
-    assert_eq!(sources.offer(at(0), scope(), one, 20), SourceChoice::Taken { before: None });
+    let mut sources = UpdateSources::default();
+    let scope = || UpdateScope::Others;
+    assert_eq!(sources.offer(at(0), scope(), one, 20), SourceChoice::Accepted { previous: None });
     assert_eq!(sources.offer(at(100), scope(), other, 20), SourceChoice::Ignored);
-    assert_eq!(sources.offer(at(200), scope(), one, 20), SourceChoice::Taken { before: None });
+    assert_eq!(sources.offer(at(200), scope(), one, 20), SourceChoice::Accepted { previous: None });
     // The first one falls silent.
     let taken = sources.offer(at(1_000), scope(), other, 20);
-    assert_eq!(taken, SourceChoice::Taken { before: Some(one) });
-    assert!(sources.has(other) && !sources.has(one));
+    assert_eq!(taken, SourceChoice::Accepted { previous: Some(one) });
+    assert!(sources.contains(other) && !sources.contains(one));
     // A relay that has just started hears few nodes, and is left out until it hears as many.
     assert_eq!(sources.offer(at(1_100), scope(), one, 3), SourceChoice::Ignored);
     let taken = sources.offer(at(1_200), scope(), one, 30);
-    assert_eq!(taken, SourceChoice::Taken { before: Some(other) });
+    assert_eq!(taken, SourceChoice::Accepted { previous: Some(other) });
 }
--- a/crates/coord/tests/relayed_usage.rs
+++ b/crates/coord/tests/relayed_usage.rs
@@ -2,7 +2,7 @@
 
 use bulrushhall_coord::{
     TeamCounts, UsageCounts, Window,
-    usage::{ToldWindows, UsageOf},
+    usage::{UsageScope, WindowSelection},
 };
 use bulrushhall_core::{Incarnation, TeamName, ZoneName};
 use rand::{Rng, RngExt, SeedableRng};
@@ -50,15 +50,15 @@
 
     /// A node tells a relay of its zone, and the relay tells it of all others.
     fn tell_relay(&mut self, node: usize, relay: usize) {
-        let own = of_window(self.nodes[node].of(life(node), ToldWindows::Newest));
-        self.nodes[relay].merge(WINDOW, UsageOf::Life(life(node), &zone(node)), &own);
-        let others = of_window(self.nodes[relay].of_others(life(node), ToldWindows::Newest));
-        self.nodes[node].merge(WINDOW, UsageOf::Others, &others);
+        let own = of_window(self.nodes[node].of(life(node), WindowSelection::Newest));
+        self.nodes[relay].merge(WINDOW, UsageScope::Incarnation(life(node), &zone(node)), &own);
+        let others = of_window(self.nodes[relay].of_others(life(node), WindowSelection::Newest));
+        self.nodes[node].merge(WINDOW, UsageScope::Others, &others);
     }
 
     fn tell_zone(&mut self, from: usize, to: usize) {
-        let sum = of_window(self.nodes[from].of_zone(&zone(from), ToldWindows::Newest));
-        self.nodes[to].merge(WINDOW, UsageOf::Zone(&zone(from)), &sum);
+        let sum = of_window(self.nodes[from].of_zone(&zone(from), WindowSelection::Newest));
+        self.nodes[to].merge(WINDOW, UsageScope::Zone(&zone(from)), &sum);
     }
 
     fn known(&self, node: usize) -> u64 {
--- a/crates/coord/tests/usage_counts.rs
+++ b/crates/coord/tests/usage_counts.rs
@@ -4,13 +4,13 @@
 
 use bulrushhall_coord::{
     FixedReports, TeamCounts, UsageCounts, Window,
-    usage::{ToldWindows, UsageOf, correction},
+    usage::{UsageScope, WindowSelection, clock_correction},
 };
 use bulrushhall_core::{Incarnation, TeamName, ZoneName};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-const ALL: ToldWindows = ToldWindows::All;
+const ALL: WindowSelection = WindowSelection::All;
 
 fn zone(name: &str) -> ZoneName {
     ZoneName::new(name).expect("a name")
@@ -34,7 +34,7 @@
     let mut counts = UsageCounts::default();
     let dead = Incarnation(1);
     let (here, own) = (zone("z"), Incarnation(2));
-    let of_dead = UsageOf::Life(dead, &here);
+    let of_dead = UsageScope::Incarnation(dead, &here);
     counts.count(Window(7), own, &here, &team("a"));
     counts.merge(Window(7), of_dead, &TeamCounts::from([(team("a"), 5)]));
     counts.merge(Window(7), of_dead, &TeamCounts::from([(team("a"), 3)]));
@@ -88,7 +88,7 @@
                 told.get(random.random_range(0..told.len().max(1)))
             {
                 let to = random.random_range(0..3);
-                nodes[to].merge(*window, UsageOf::Life(*life, &zone("z")), counts);
+                nodes[to].merge(*window, UsageScope::Incarnation(*life, &zone("z")), counts);
                 let own = Incarnation(to as u64);
                 let known: u64 = nodes[to].total(Window(1), own).values().sum();
                 assert!(known <= begun, "seed {seed}");
@@ -104,7 +104,7 @@
             })
             .collect();
         for (life, window, counts) in &last {
-            nodes[0].merge(*window, UsageOf::Life(*life, &zone("z")), counts);
+            nodes[0].merge(*window, UsageScope::Incarnation(*life, &zone("z")), counts);
         }
         assert_eq!(
             nodes[0].total(Window(1), Incarnation(0)).values().sum::<u64>(),
@@ -118,10 +118,10 @@
 // the others must not follow it.
 #[test]
 fn wrong_time_of_day() {
-    assert_eq!(correction([-240_000, -240_003, -239_998, -240_001]), -240_000);
-    assert_eq!(correction([240_000, 2, -3, 1]), 1);
-    assert_eq!(correction([]), 0);
+    assert_eq!(clock_correction([-240_000, -240_003, -239_998, -240_001]), -240_000);
+    assert_eq!(clock_correction([240_000, 2, -3, 1]), 1);
+    assert_eq!(clock_correction([]), 0);
     // Of two nodes nobody knows which is right; both take the earlier, and end no window too soon.
-    assert_eq!(correction([5_000]), 0);
-    assert_eq!(correction([-5_000]), -5_000);
+    assert_eq!(clock_correction([5_000]), 0);
+    assert_eq!(clock_correction([-5_000]), -5_000);
 }
--- a/crates/daemon/src/budgeted.rs
+++ b/crates/daemon/src/budgeted.rs
@@ -48,7 +48,7 @@
         }
         let outcome = call.await;
         let time = self.clock.now().since(now);
-        self.meters.time(Metric::KeyValueSeconds, &[("purpose", self.purpose.word())], time);
+        self.meters.time(Metric::KeyValueSeconds, &[("purpose", self.purpose.as_str())], time);
         let ran = outcome.as_ref().map_or_else(|error| error.ran, |_| Ran::Yes);
         self.lock(|budget| budget.note(self.purpose, ran));
         self.count(match ran {
@@ -65,7 +65,7 @@
     }
 
     fn count(&self, outcome: &'static str) {
-        let labels = [("purpose", self.purpose.word()), ("outcome", outcome)];
+        let labels = [("purpose", self.purpose.as_str()), ("outcome", outcome)];
         self.meters.count(Metric::KeyValueCalls, &labels, 1);
     }
 }
--- a/crates/daemon/src/callers/admit.rs
+++ b/crates/daemon/src/callers/admit.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bulrushhall_coord::{Copied, Version};
+use bulrushhall_coord::{CopyLocation, Version};
 use bulrushhall_core::{Ran, TeamName};
 use bulrushhall_policy::{PlacementRequest, Ticket, Wait, WorkerKey, prefix::block_hashes};
 use tokio::sync::oneshot;
@@ -64,7 +64,7 @@
         let error = ApiError::not_run(ApiCode::Leaving, "the node is stopping");
         error.ran(Ran::Unknown)
     };
-    if copied.await.map_err(stopped)? == Copied::Nowhere {
+    if copied.await.map_err(stopped)? == CopyLocation::Nowhere {
         answer.set_uncopied();
         cx.meters.count(Metric::Uncopied, &[], 1);
     }
--- a/crates/daemon/src/callers/entries.rs
+++ b/crates/daemon/src/callers/entries.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_coord::{
     Candidate,
-    entries::{ADDRESSES, order},
+    entries::{MAX_ADDRESSES, order},
 };
 use bulrushhall_core::{
     Incarnation,
@@ -47,7 +47,7 @@
     members.push(cx.own_member());
     members.retain(|member| !member.leaving);
     let candidates: Vec<Candidate> = members.iter().map(candidate).collect();
-    let ordered = order(caller, &candidates, ADDRESSES);
+    let ordered = order(caller, &candidates, MAX_ADDRESSES);
     let ordered = ordered.into_iter().filter_map(|chosen| find(&members, chosen.incarnation));
     ordered.map(entry).collect()
 }
--- a/crates/daemon/src/config_chain.rs
+++ b/crates/daemon/src/config_chain.rs
@@ -3,7 +3,7 @@
 use std::{error, fmt};
 
 use bulrushhall_coord::{
-    ChainCall, ChainReply, ChainStep, ChainWriter, Head, Refusal,
+    ChainCall, ChainRefusal, ChainReply, ChainStep, ChainWriter, Head,
     chain::{HEAD_KEY, HISTORY_PREFIX, history_key},
 };
 use bulrushhall_core::{CoreError, Ran, Revision, config::parse_deployment};
@@ -30,7 +30,7 @@
     /// The text is no configuration.
     Invalid(CoreError),
     /// The chain did not take it.
-    Refused(Refusal),
+    Refused(ChainRefusal),
 }
 
 /// An `ApplyProgress` tells what takes long.
@@ -143,7 +143,7 @@
                 Err(error) => ChainReply::Failed(error.ran),
             };
         }
-        ChainCall::Keep(revision, value) => {
+        ChainCall::Archive(revision, value) => {
             kv.put_if(&history_key(revision), Version(0), value, None).await
         }
         ChainCall::Swap(version, value) => kv.put_if(HEAD_KEY, Version(version), value, None).await,
--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/duty.rs
@@ -98,7 +98,7 @@
                 removed.map_or_else(failed, |_| LeaseReply::Done)
             }
             LeaseCall::Claim(lease) => {
-                let own = Holder { life: self.cx.incarnation, lease }.encode();
+                let own = Holder { incarnation: self.cx.incarnation, lease }.encode();
                 let lease = Some(LeaseId(lease));
                 match kv.put_if(&self.key, Version(0), Bytes::from(own), lease).await {
                     Ok(CasOutcome::Written(version)) => LeaseReply::Claimed(Fence(version.0)),
@@ -152,5 +152,5 @@
 // A value that names nobody is nobody's own: the duty counts as held until the key vanishes.
 fn holder_of(value: &Bytes) -> Holder {
     let held = std::str::from_utf8(value).ok().and_then(Holder::decode);
-    held.unwrap_or(Holder { life: Incarnation(0), lease: 0 })
+    held.unwrap_or(Holder { incarnation: Incarnation(0), lease: 0 })
 }
--- a/crates/daemon/src/handoff/keeper.rs
+++ b/crates/daemon/src/handoff/keeper.rs
@@ -6,7 +6,9 @@
     sync::Arc,
 };
 
-use bulrushhall_coord::{Action, Copied, Message, Ownership, OwnershipOptions, Peer, Version};
+use bulrushhall_coord::{
+    Action, CopyLocation, Message, Ownership, OwnershipOptions, Peer, Version,
+};
 use bulrushhall_core::{Event, Incarnation, RequestId, TeamName};
 use bytes::Bytes;
 use tokio::sync::oneshot;
@@ -27,7 +29,7 @@
 pub struct Keeper {
     cx: Arc<Context>,
     machine: Ownership,
-    waiting: HashMap<RequestId, oneshot::Sender<Copied>>,
+    waiting: HashMap<RequestId, oneshot::Sender<CopyLocation>>,
     addresses: HashMap<Incarnation, SocketAddr>,
 }
 
@@ -38,7 +40,7 @@
     /// What it asks for, encoded.
     pub body: Bytes,
     /// Gets where the copy is once it is there.
-    pub copied: oneshot::Sender<Copied>,
+    pub copied: oneshot::Sender<CopyLocation>,
 }
 
 /// `Produced` are new tokens of an owned request.
@@ -321,7 +323,7 @@
             let held = Portable::decode(body).is_ok_and(|it| it.team == of.team);
             return if held { Standing::Holder } else { Standing::Unknown };
         }
-        self.machine.went_to(of.id).map_or(Standing::Unknown, Standing::WentTo)
+        self.machine.moved_to(of.id).map_or(Standing::Unknown, Standing::WentTo)
     }
 }
 
--- a/crates/daemon/src/keyed/claimer.rs
+++ b/crates/daemon/src/keyed/claimer.rs
@@ -7,7 +7,7 @@
 };
 
 use bulrushhall_coord::{
-    ClaimRefusal, Claims, ClaimsAction, ClaimsOptions, KeyHash, Shard, Swapped, budget::Purpose,
+    ClaimRefusal, Claims, ClaimsAction, ClaimsOptions, KeyHash, Shard, SwapResult, budget::Purpose,
 };
 use bulrushhall_core::Incarnation;
 use bulrushhall_external::{
@@ -49,7 +49,7 @@
 pub struct ReadBack(Shard, Option<(u64, Bytes)>);
 
 /// A `SwapBack` brings how a compare-and-swap ended.
-pub struct SwapBack(Shard, Swapped);
+pub struct SwapBack(Shard, SwapResult);
 
 /// A `ClaimerTick` lets time pass.
 pub struct ClaimerTick;
@@ -164,14 +164,14 @@
     shard: Shard,
     version: u64,
     record: Bytes,
-) -> Swapped {
-    let Some(key_value) = key_value else { return Swapped::Failed };
+) -> SwapResult {
+    let Some(key_value) = key_value else { return SwapResult::Failed };
     let key = key_of(shard);
     let write = key_value.put_if(&key, Version(version), record, None);
     match tokio::time::timeout(CALL_TIMEOUT, write).await {
-        Ok(Ok(CasOutcome::Written(version))) => Swapped::Written(version.0),
-        Ok(Ok(CasOutcome::Conflict(found))) => Swapped::Conflict(found.version.0, found.value),
-        Ok(Err(_)) | Err(_) => Swapped::Failed,
+        Ok(Ok(CasOutcome::Written(version))) => SwapResult::Written(version.0),
+        Ok(Ok(CasOutcome::Conflict(found))) => SwapResult::Conflict(found.version.0, found.value),
+        Ok(Err(_)) | Err(_) => SwapResult::Failed,
     }
 }
 
--- a/crates/daemon/src/keyed/home.rs
+++ b/crates/daemon/src/keyed/home.rs
@@ -155,7 +155,7 @@
     }
     let text = [call.service.as_str().as_bytes(), call.method.as_bytes(), call.path.as_bytes()];
     let hash = xxh3_64(&[&text.join(&b'\n')[..], b"\n", &call.body].concat());
-    let known = ledger(cx).look(&call.team, &call.key, hash);
+    let known = ledger(cx).get(&call.team, &call.key, hash);
     if known.is_none() && cx.is_leaving() {
         return KeyedReply::Failed(leaving(Ran::No));
     }
@@ -167,7 +167,7 @@
     }
     let until = Instant::now() + REPLY_WAIT;
     loop {
-        let known = ledger(cx).look(&call.team, &call.key, hash);
+        let known = ledger(cx).get(&call.team, &call.key, hash);
         if let Some(reply) = settled(cx, known.as_ref(), &claim) {
             return reply;
         }
@@ -224,7 +224,7 @@
             {
                 stored = Some(Stored::of(&answer).encode());
             }
-            if !attempts.may_try_again() {
+            if !attempts.may_retry() {
                 break;
             }
         }
--- a/crates/daemon/src/membership_actor.rs
+++ b/crates/daemon/src/membership_actor.rs
@@ -7,7 +7,9 @@
     time::Duration,
 };
 
-use bulrushhall_coord::{Condition, Gossip, Headroom, Membership, MembershipOptions, Record, Send};
+use bulrushhall_coord::{
+    Condition, Gossip, Headroom, Membership, MembershipOptions, Outgoing, Record,
+};
 use bulrushhall_core::{Incarnation, Stamp};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -115,7 +117,7 @@
     }
 
     // Replies come back to the mailbox, so the actor never waits for another node.
-    fn send(&self, send: Send<Member>, address: &WeakAddress<MembershipActor>) {
+    fn send(&self, send: Outgoing<Member>, address: &WeakAddress<MembershipActor>) {
         let Some(record) = self.machine.record(send.to) else { return };
         self.deliver(record.value.peers, Some(send.to), send.gossip, address);
     }
@@ -156,7 +158,7 @@
             due.push(*seed);
         }
         for seed in due {
-            self.deliver(seed, None, self.machine.greeting(), address);
+            self.deliver(seed, None, self.machine.join_message(), address);
         }
     }
 
--- a/crates/daemon/tests/shared_knowledge.rs
+++ b/crates/daemon/tests/shared_knowledge.rs
@@ -194,7 +194,7 @@
     let options = LeaseOptions {
         ttl: Duration::from_millis(1_500),
         margin: Duration::from_millis(300),
-        pause: Duration::from_millis(400),
+        renew_interval: Duration::from_millis(400),
         order_timeout: Duration::from_millis(100),
     };
     let tasks: Vec<DutyTask> = testbed
--- a/crates/gateway/src/duties/holder.rs
+++ b/crates/gateway/src/duties/holder.rs
@@ -52,7 +52,7 @@
         let options = LeaseOptions {
             ttl,
             margin: ttl.mul_f64(MARGIN_SHARE),
-            pause: ttl.mul_f64(RENEW_SHARE),
+            renew_interval: ttl.mul_f64(RENEW_SHARE),
             order_timeout: ORDER_TIMEOUT,
         };
         let lease = Lease::new(clock::now(), gateway.incarnation, options);
@@ -86,7 +86,7 @@
             let listed = state.members.iter().filter(|(_, member)| member.listed);
             // Members don't see that the duties are free while relays tell them what they need.
             let relays = &state.relays;
-            let tries = |name: &NodeName| relays.role == Role::Flat || relays.names(name);
+            let tries = |name: &NodeName| relays.role == Role::Flat || relays.includes(name);
             let earlier = listed.filter(|(name, _)| *name < own && tries(name)).count();
             let turn = TURN * u32::try_from(earlier).unwrap_or(u32::MAX);
             let since = state.members.duty_free_since;
@@ -113,7 +113,7 @@
     }
 
     async fn claim(&self, kv: &dyn KeyValue, lease: u64) -> LeaseReply {
-        let own = HolderRecord { life: self.gateway.incarnation, lease }.encode();
+        let own = HolderRecord { incarnation: self.gateway.incarnation, lease }.encode();
         let put = kv.put_if(DUTY_KEY, Version(0), Bytes::from(own), Some(LeaseId(lease)));
         match within(CALL_TIMEOUT, put).await {
             Ok(CasOutcome::Written(version)) => LeaseReply::Claimed(Fence(version.0)),
@@ -166,5 +166,5 @@
 // A value that names nobody is nobody's own: the duty counts as held until the key vanishes.
 fn holder_of(value: &Bytes) -> HolderRecord {
     let held = std::str::from_utf8(value).ok().and_then(HolderRecord::decode);
-    held.unwrap_or(HolderRecord { life: Incarnation(0), lease: 0 })
+    held.unwrap_or(HolderRecord { incarnation: Incarnation(0), lease: 0 })
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,7 +8,8 @@
 
 use arc_swap::ArcSwapOption;
 use bulrushhall_coord::{
-    CatchUp, Freshness, NewsSources, RelayPlan, Role, UsageCounts, Window, usage::correction,
+    CatchUp, Freshness, RelayPlan, Role, UpdateSources, UsageCounts, Window,
+    usage::clock_correction,
 };
 use bulrushhall_core::{Incarnation, Revision, ServiceName, Stamp, TeamName};
 use bulrushhall_external::KeyValue;
@@ -80,7 +81,7 @@
     /// Whom this node exchanges news with.
     pub relays: RelayPlan,
     /// The relays whose sums are taken in.
-    pub sources: NewsSources,
+    pub sources: UpdateSources,
     /// When another node last took this one for a relay.
     pub relay_asked_at: Option<Stamp>,
     /// The exchanges since the start.
@@ -223,7 +224,7 @@
 
     // The time of day that most nodes agree on.
     fn day(&self) -> Duration {
-        let ahead = self.with(|state| correction(state.members.days_ahead()));
+        let ahead = self.with(|state| clock_correction(state.members.days_ahead()));
         let shift = Duration::from_millis(ahead.unsigned_abs());
         let own = self.own_day();
         if ahead < 0 { own.saturating_sub(shift) } else { own + shift }
--- a/crates/gateway/src/knowledge/exchange.rs
+++ b/crates/gateway/src/knowledge/exchange.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use bulrushhall_coord::{IsAsked, RelayOptions, RelayPeer, Role};
+use bulrushhall_coord::{RelayOptions, RelayPeer, RelayRequested, Role};
 use bulrushhall_core::{Event, NodeName, Stamp};
 use bulrushhall_external::{
     CallError, CallFault,
@@ -135,7 +135,8 @@
         silent: member.is_silent(now, options.silent_after),
     });
     let is_asked = state.relay_asked_at.is_some_and(|at| now.since(at) < RELAY_FOR);
-    let plan = options.plan(own, others, if is_asked { IsAsked::Yes } else { IsAsked::No });
+    let plan =
+        options.plan(own, others, if is_asked { RelayRequested::Yes } else { RelayRequested::No });
     meters::role(plan.role);
     if plan.role != state.relays.role {
         let (before, role) = (state.relays.role, plan.role);
--- a/crates/gateway/src/knowledge/hear.rs
+++ b/crates/gateway/src/knowledge/hear.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use bulrushhall_coord::{NewsScope, Role, SourceChoice, usage::UsageOf};
+use bulrushhall_coord::{Role, SourceChoice, UpdateScope, usage::UsageScope};
 use bulrushhall_core::{Event, Incarnation, Stamp, TeamName, ZoneName};
 use bulrushhall_policy::quota::QuotaTold;
 
@@ -79,7 +79,7 @@
         let revision = told.revision;
         let hearing = Hearing { gateway, now, zone, table: table.as_deref() };
         hearing.take(state, told);
-        state.catch_up.hear(now, own, revision);
+        state.catch_up.observe(now, own, revision);
         let patience = document.map_or(Duration::ZERO, patience);
         let patience = if state.config_lost { Duration::ZERO } else { patience };
         let is_due = state.catch_up.begin(now, own, revision, patience);
@@ -129,21 +129,21 @@
         let scope = match (told.told, state.relays.role) {
             (Told::Own, Role::Flat) => return true,
             (Told::Own, Role::Relay) => return is_near,
-            (Told::Zone, Role::Relay) if !is_near => NewsScope::Zone(self.zone.clone()),
-            (Told::Others, Role::Flat | Role::Member) => NewsScope::Others,
+            (Told::Zone, Role::Relay) if !is_near => UpdateScope::Zone(self.zone.clone()),
+            (Told::Others, Role::Flat | Role::Member) => UpdateScope::Others,
             _ => return false,
         };
         match state.sources.offer(self.now, scope, told.incarnation, told.nodes) {
             SourceChoice::Ignored => false,
-            SourceChoice::Taken { before } => {
-                if let Some(before) = before {
+            SourceChoice::Accepted { previous } => {
+                if let Some(previous) = previous {
                     tracing::info!(
                         event = Event::SourceChanged.number(),
                         node = %told.node,
                         nodes = told.nodes,
-                        before = before.0
+                        before = previous.0
                     );
-                    drop_source(state, before);
+                    drop_source(state, previous);
                 }
                 true
             }
@@ -182,9 +182,9 @@
 
     fn take_usage(&self, state: &mut State, told: &Digest) {
         let of = match told.told {
-            Told::Own => UsageOf::Life(told.incarnation, &self.zone),
-            Told::Zone => UsageOf::Zone(&self.zone),
-            Told::Others => UsageOf::Others,
+            Told::Own => UsageScope::Incarnation(told.incarnation, &self.zone),
+            Told::Zone => UsageScope::Zone(&self.zone),
+            Told::Others => UsageScope::Others,
             Told::Nothing => return,
         };
         for (window, counts) in &told.usage {
--- a/crates/gateway/src/knowledge/tell.rs
+++ b/crates/gateway/src/knowledge/tell.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use bulrushhall_coord::{Role, TeamCounts, Window, usage::ToldWindows};
+use bulrushhall_coord::{Role, TeamCounts, Window, usage::WindowSelection};
 use bulrushhall_core::{Incarnation, ServiceName, Stamp, TeamName};
 use bulrushhall_policy::{parts::PromptPart, quota::QuotaTold};
 
@@ -129,7 +129,7 @@
         let mut loads = Vec::new();
         for (_, backend) in state.backends.iter_mut() {
             let load = match told {
-                Told::Zone => backend.load(now, |life| !sources.has(life)),
+                Told::Zone => backend.load(now, |life| !sources.contains(life)),
                 Told::Others => backend.load(now, |life| life != receiver),
                 Told::Own | Told::Nothing => backend.own,
             };
@@ -158,7 +158,7 @@
         for (_, member) in state.members.iter() {
             let life = member.record.incarnation;
             let is_told = match self.message.told {
-                Told::Zone => member.record.zone == *zone && !state.sources.has(life),
+                Told::Zone => member.record.zone == *zone && !state.sources.contains(life),
                 Told::Others => life != self.receiver(),
                 Told::Own | Told::Nothing => false,
             };
@@ -179,7 +179,7 @@
             Told::Zone | Told::Others => state.exchanges / LATE_NEWS_EACH,
         };
         let is_for_all = rounds.is_multiple_of(ALL_WINDOWS_EACH);
-        let which = if is_for_all { ToldWindows::All } else { ToldWindows::Newest };
+        let which = if is_for_all { WindowSelection::All } else { WindowSelection::Newest };
         match self.message.told {
             Told::Zone => state.usage.of_zone(&self.gateway.settings.gateway.zone, which),
             Told::Others => state.usage.of_others(self.receiver(), which),
--- a/crates/gateway/src/pipeline/serve.rs
+++ b/crates/gateway/src/pipeline/serve.rs
@@ -208,7 +208,7 @@
         if original.end <= clock::now() {
             return Err(Failure::Late(attempts.ran()));
         }
-        let allowed = attempts.may_try_again() || req.route.cfg.kind.may_run_again();
+        let allowed = attempts.may_retry() || req.route.cfg.kind.may_run_again();
         if !allowed || !again(gateway, req, service, trail) {
             return Err(honest(Failure::Rejected, attempts));
         }
