--- a/crates/daemon/src/bin/bulrushd.rs
+++ b/crates/daemon/src/bin/bulrushd.rs
@@ -56,7 +56,7 @@
 
 fn start(path: &Path, matches: &ArgMatches) -> Result<(), Report<NodeError>> {
     let text = std::fs::read_to_string(path).change_context(NodeError::Settings)?;
-    if bulrushhall_gateway::Settings::is_meant(&text) {
+    if bulrushhall_gateway::Settings::is_gateway_file(&text) {
         // A node that serves routes has a part of a core; more threads would only take turns.
         let runtime = runtime::Builder::new_current_thread().enable_all().build();
         return runtime.change_context(NodeError::Start)?.block_on(routes::run(path, &text));
--- a/crates/gateway/src/border/call.rs
+++ b/crates/gateway/src/adapter/call.rs
@@ -10,9 +10,9 @@
     /// Its tokens.
     pub tokens: u32,
     /// The most tokens of the answer.
-    pub answer_most: u32,
+    pub max_answer_tokens: u32,
     /// The caller's estimate of the tokens of the answer.
-    pub answer_hint: Option<u32>,
+    pub answer_tokens_hint: Option<u32>,
     /// The parts that other prompts may begin with too, in order.
     pub parts: Vec<PromptPart>,
 }
@@ -20,7 +20,7 @@
 impl Prompt {
     /// Returns the expected tokens of the answer: the hint, or half of what it may have.
     pub fn answer(&self) -> u32 {
-        self.answer_hint.unwrap_or(self.answer_most / 2).min(self.answer_most)
+        self.answer_tokens_hint.unwrap_or(self.max_answer_tokens / 2).min(self.max_answer_tokens)
     }
 
     /// Returns the parts that prompts of others may have: the last of several is this request's own.
--- a/crates/gateway/src/border/mod.rs
+++ b/crates/gateway/src/adapter/mod.rs
@@ -8,4 +8,4 @@
 pub use call::{Call, Prompt};
 pub use orders::{Authority, Orders};
 pub use records::{BackendRecord, BackendState, RecordError, Records};
-pub use wire::{AnswerHead, CallProblem, Refusal, SendHead, Wire};
+pub use wire::{CallProblem, Refusal, ResponseHead, SendHead, Wire};
--- a/crates/gateway/src/border/wire.rs
+++ b/crates/gateway/src/adapter/wire.rs
@@ -8,7 +8,7 @@
     http::{request, response},
 };
 
-use crate::border::Call;
+use crate::adapter::Call;
 
 /// A `CallProblem` tells why a caller's request could not be understood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,9 +38,9 @@
     pub copy_from: Option<SocketAddr>,
 }
 
-/// An `AnswerHead` is what the head of a backend server's answer says.
+/// An `ResponseHead` is what the head of a backend server's answer says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status.
     pub status: StatusCode,
     /// The id of the attempt that it answers, where it tells one.
@@ -76,10 +76,10 @@
     fn send_headers(&self, caller: &HeaderMap, send: SendHead<'_>) -> HeaderMap;
 
     /// Reads the head of a backend server's answer.
-    fn read_answer(&self, head: &response::Parts) -> AnswerHead;
+    fn read_response(&self, head: &response::Parts) -> ResponseHead;
 
     /// Returns the headers of the answer as they pass on to the caller.
-    fn answer_headers(&self, answer: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, answer: &HeaderMap) -> HeaderMap;
 
     /// Returns the answer that refuses a request or tells of its failure.
     fn refusal(&self, refusal: Refusal) -> Response<()>;
--- a/crates/gateway/src/backends/backend.rs
+++ b/crates/gateway/src/backends/backend.rs
@@ -6,8 +6,8 @@
 use bulrushhall_policy::{doubt::Doubt, parts::PartMemory, recent_parts::RecentParts};
 
 use crate::{
+    adapter::{BackendRecord, BackendState},
     backends::{Load, Pool},
-    border::{BackendRecord, BackendState},
 };
 
 /// How long another node's word on its load counts: four exchanges of 250 ms may be lost or late.
--- a/crates/gateway/src/backends/directory.rs
+++ b/crates/gateway/src/backends/directory.rs
@@ -12,8 +12,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
+    adapter::{BackendRecord, BackendState},
     backends::{Backend, RecordNews},
-    border::{BackendRecord, BackendState},
     change_log::ChangeLog,
 };
 
@@ -105,7 +105,7 @@
     /// Records lapse while the service is away, though the servers live. Taken for gone, all servers
     /// would be lost at once. The time for them to come back counts from the service's return: a
     /// server that leaves later is gone like any other.
-    pub fn missing(&mut self, now: Stamp, name: &str, returned_at: Option<Stamp>) {
+    pub fn note_missing(&mut self, now: Stamp, name: &str, returned_at: Option<Stamp>) {
         let until = returned_at.map(|returned_at| returned_at + MISSING_FOR);
         match (until, self.named_mut(name)) {
             (Some(until), Some(backend)) if now < until => backend.missing_until = Some(until),
@@ -147,7 +147,7 @@
         let names: Vec<Arc<str>> = self.names.keys().cloned().collect();
         for name in names {
             if !listed.contains(&*name) {
-                self.missing(now, &name, returned_at);
+                self.note_missing(now, &name, returned_at);
             }
         }
     }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -17,6 +17,6 @@
 }
 
 /// Returns the time since 1970 by the time of day, which may be wrong and may jump.
-pub fn time_of_day() -> Duration {
+pub fn wall_clock() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/gateway/src/knowledge/backends.rs
+++ b/crates/gateway/src/cluster/backends.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     clock,
+    cluster::{Follower, follow},
     gateway::Gateway,
-    knowledge::{Follower, follow},
 };
 
 /// The wait of a watch. On a connection that went silent, a server that leaves is noticed only when
@@ -43,7 +43,7 @@
         let now = clock::now();
         let returned_at = self.returned_at();
         let Some(value) = change.value.as_ref().filter(|_| !change.removed) else {
-            self.gateway.with(|state| state.backends.missing(now, name, returned_at));
+            self.gateway.with(|state| state.backends.note_missing(now, name, returned_at));
             return None;
         };
         match self.gateway.platform.records.read_backend(value) {
@@ -61,7 +61,7 @@
 
 impl Follower for BackendFollower {
     fn is_fed(&self) -> bool {
-        self.gateway.with(|state| state.records_fed(clock::now()).is_some())
+        self.gateway.with(|state| state.relay_cursor(clock::now()).is_some())
     }
 
     fn times_fed(&self) -> u64 {
--- a/crates/gateway/src/knowledge/config.rs
+++ b/crates/gateway/src/cluster/config.rs
@@ -8,8 +8,8 @@
 
 use crate::{
     clock,
+    cluster::{Follower, follow},
     gateway::Gateway,
-    knowledge::{Follower, follow},
     meters,
 };
 
--- a/crates/gateway/src/knowledge/digest.rs
+++ b/crates/gateway/src/cluster/digest.rs
@@ -8,13 +8,13 @@
 
 use crate::{
     backends::{Load, RANKS, RecordNews},
+    cluster::{MemberNews, MemberRecord},
     demand::Offered,
-    knowledge::{MemberNews, MemberRecord},
 };
 
-/// `Told` says which nodes a message is about.
+/// `DigestScope` says which nodes a message is about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Told {
+pub enum DigestScope {
     /// The node that sends it.
     #[default]
     Own,
@@ -80,7 +80,8 @@
     #[serde(default)]
     pub unlisted: Vec<(NodeName, MemberRecord)>,
     /// Its time of day as it was at its start, in milliseconds since 1970, gone on by a steady clock.
-    pub day_ms: u64,
+    #[serde(rename = "day_ms")]
+    pub wall_clock_ms: u64,
     /// Whether it serves callers.
     pub ready: bool,
     /// The revision that it has in force.
@@ -91,11 +92,11 @@
     /// milliseconds.
     pub records_steady_ms: Option<u64>,
     /// Which nodes the following values are about; nodes of an earlier version tell of themselves.
-    #[serde(default)]
-    pub told: Told,
+    #[serde(default, rename = "told")]
+    pub scope: DigestScope,
     /// Which nodes the answer shall be about.
-    #[serde(default)]
-    pub wants: Told,
+    #[serde(default, rename = "wants")]
+    pub reply_scope: DigestScope,
     /// The number of nodes that the following values are about.
     #[serde(default = "one")]
     pub nodes: u32,
@@ -131,13 +132,13 @@
             incarnation,
             record: None,
             unlisted: Vec::new(),
-            day_ms: 0,
+            wall_clock_ms: 0,
             ready: false,
             revision: Revision(0),
             config_age_ms: None,
             records_steady_ms: None,
-            told: Told::Own,
-            wants: Told::Own,
+            scope: DigestScope::Own,
+            reply_scope: DigestScope::Own,
             nodes: one(),
             heard: Vec::new(),
             quotas: Vec::new(),
--- a/crates/gateway/src/knowledge/exchange.rs
+++ b/crates/gateway/src/cluster/exchange.rs
@@ -22,13 +22,13 @@
 
 use crate::{
     clock,
-    gateway::{Gateway, State},
-    knowledge::{
-        Digest, Document, Member, Told,
+    cluster::{
+        Digest, DigestScope, Document, Member,
         hear::{Reading, hear},
         take_config,
         tell::{Message, digest},
     },
+    gateway::{Gateway, State},
     meters,
 };
 
@@ -84,12 +84,12 @@
         // Not all are asked in each round; connections are kept as long as their nodes are known.
         gateway.with(|state| endpoints.retain(|address, _| state.members.has_port(*address)));
         // The same message goes to all: made anew for each, it would cost a node its number of peers.
-        let mut encoded: BTreeMap<(Told, Told), Bytes> = BTreeMap::new();
+        let mut encoded: BTreeMap<(DigestScope, DigestScope), Bytes> = BTreeMap::new();
         for Ask { address, message, .. } in asks {
             let bytes = match message.to {
                 Some(_) => encode(&gateway, message),
                 None => encoded
-                    .entry((message.told, message.wants))
+                    .entry((message.scope, message.reply_scope))
                     .or_insert_with(|| encode(&gateway, message))
                     .clone(),
             };
@@ -107,10 +107,10 @@
     state.exchanges += 1;
     state.members.expire(now);
     state.backends.expire(now);
-    meters::members(state.members.count(), state.members.heard(now));
+    meters::members(state.members.count(), state.members.live_count(now));
     let members = &state.members;
     for quota in state.quotas.values_mut() {
-        quota.retain(|peer| members.is_alive(peer));
+        quota.retain(|peer| members.is_known(peer));
     }
     plan_relays(gateway, state, now);
     let is_member = state.relays.role == Role::Member;
@@ -171,7 +171,7 @@
         for (node, member) in state.members.iter() {
             // A node without a record may not know of this one, and would not ask.
             if self.blind || own < node || !member.listed {
-                asks.push(ask_of(node, member, Told::Own, Told::Own));
+                asks.push(ask_of(node, member, DigestScope::Own, DigestScope::Own));
             }
         }
         asks
@@ -184,14 +184,14 @@
         for (node, member) in state.members.iter() {
             let is_near = member.record.zone == own.zone;
             if !is_relay && state.relays.near.contains(node) {
-                asks.push(ask_of(node, member, Told::Own, Told::Others));
+                asks.push(ask_of(node, member, DigestScope::Own, DigestScope::Others));
             } else if state.relays.near.contains(node) && self.asks_first(node, member) {
-                asks.push(ask_of(node, member, Told::Own, Told::Own));
+                asks.push(ask_of(node, member, DigestScope::Own, DigestScope::Own));
             } else if state.relays.far.contains(node) && self.asks_first(node, member) {
-                asks.push(ask_of(node, member, Told::Zone, Told::Zone));
+                asks.push(ask_of(node, member, DigestScope::Zone, DigestScope::Zone));
             } else if is_relay && is_near && !member.listed {
                 // It may not know of any relay.
-                let mut ask = ask_of(node, member, Told::Others, Told::Own);
+                let mut ask = ask_of(node, member, DigestScope::Others, DigestScope::Own);
                 ask.message.to = Some(member.record.incarnation);
                 asks.push(ask);
             }
@@ -203,7 +203,7 @@
             let all: Vec<_> = state.members.iter().collect();
             for (node, member) in all.sample(&mut rand::rng(), BLIND_ASKS) {
                 if asks.iter().all(|ask| ask.node != **node) {
-                    asks.push(ask_of(node, member, Told::Nothing, Told::Nothing));
+                    asks.push(ask_of(node, member, DigestScope::Nothing, DigestScope::Nothing));
                 }
             }
         }
@@ -218,7 +218,7 @@
             return None;
         }
         let member = state.members.get(standby)?;
-        Some(ask_of(standby, member, Told::Own, Told::Nothing))
+        Some(ask_of(standby, member, DigestScope::Own, DigestScope::Nothing))
     }
 
     fn asks_first(&self, node: &NodeName, member: &Member) -> bool {
@@ -227,8 +227,8 @@
     }
 }
 
-fn ask_of(node: &NodeName, member: &Member, told: Told, wants: Told) -> Ask {
-    let message = Message { told, wants, to: None };
+fn ask_of(node: &NodeName, member: &Member, scope: DigestScope, reply_scope: DigestScope) -> Ask {
+    let message = Message { scope, reply_scope, to: None };
     Ask { node: node.clone(), address: member.record.peers, message }
 }
 
--- a/crates/gateway/src/knowledge/hear.rs
+++ b/crates/gateway/src/cluster/hear.rs
@@ -9,8 +9,8 @@
 use crate::{
     backends::RecordNews,
     clock,
+    cluster::{BackendLoad, Digest, DigestScope, HeardLife, MemberNews, RecordsKnown, as_millis},
     gateway::{Gateway, State},
-    knowledge::{BackendLoad, Digest, HeardLife, MemberNews, RecordsKnown, Told, as_millis},
     meters,
     table::RouteTable,
 };
@@ -62,7 +62,7 @@
             return None;
         }
         member.note_message(now, told.ready);
-        member.day_ahead = Some(told.day_ms as i64 - as_millis(gateway.own_day()) as i64);
+        member.day_ahead = Some(told.wall_clock_ms as i64 - as_millis(gateway.own_day()) as i64);
         let address = member.record.peers;
         let zone = member.record.zone.clone();
         // Only who has the same configuration tells something about the age of this node's, and
@@ -101,7 +101,7 @@
         for (service, pace) in &told.paces {
             state.observed(service).engines.hear(*pace);
         }
-        if told.told == Told::Nothing {
+        if told.scope == DigestScope::Nothing {
             return;
         }
         self.take_usage(state, &told);
@@ -117,7 +117,7 @@
             member.offered = told.offered.iter().cloned().collect();
         }
         drop_loads(state, told.incarnation);
-        let is_sum = told.told != Told::Own;
+        let is_sum = told.scope != DigestScope::Own;
         for load in told.loads {
             self.take_load(state, told.incarnation, is_sum, load);
         }
@@ -126,11 +126,11 @@
     // Whether what is told of requests is taken in: each request must count once.
     fn is_source(&self, state: &mut State, told: &Digest) -> bool {
         let is_near = self.zone == self.gateway.settings.gateway.zone;
-        let scope = match (told.told, state.relays.role) {
-            (Told::Own, Role::Flat) => return true,
-            (Told::Own, Role::Relay) => return is_near,
-            (Told::Zone, Role::Relay) if !is_near => NewsScope::Zone(self.zone.clone()),
-            (Told::Others, Role::Flat | Role::Member) => NewsScope::Others,
+        let scope = match (told.scope, state.relays.role) {
+            (DigestScope::Own, Role::Flat) => return true,
+            (DigestScope::Own, Role::Relay) => return is_near,
+            (DigestScope::Zone, Role::Relay) if !is_near => NewsScope::Zone(self.zone.clone()),
+            (DigestScope::Others, Role::Flat | Role::Member) => NewsScope::Others,
             _ => return false,
         };
         match state.sources.offer(self.now, scope, told.incarnation, told.nodes) {
@@ -160,7 +160,7 @@
             return;
         }
         // An answer may come late; what it tells may be older than what is known.
-        let fits = match state.records_fed(self.now) {
+        let fits = match state.relay_cursor(self.now) {
             None => backends.after == 0 && members.after == 0,
             Some(known) => {
                 let goes_on = |after, known, at| after <= known && known <= at;
@@ -181,11 +181,11 @@
     }
 
     fn take_usage(&self, state: &mut State, told: &Digest) {
-        let of = match told.told {
-            Told::Own => UsageOf::Life(told.incarnation, &self.zone),
-            Told::Zone => UsageOf::Zone(&self.zone),
-            Told::Others => UsageOf::Others,
-            Told::Nothing => return,
+        let of = match told.scope {
+            DigestScope::Own => UsageOf::Life(told.incarnation, &self.zone),
+            DigestScope::Zone => UsageOf::Zone(&self.zone),
+            DigestScope::Others => UsageOf::Others,
+            DigestScope::Nothing => return,
         };
         for (window, counts) in &told.usage {
             state.usage.merge(*window, of, counts);
@@ -208,8 +208,8 @@
             let asked = asked.get(team).copied().unwrap_or(0.0);
             let quota_told = QuotaTold { total: *total, asked };
             let quota = state.quota(team);
-            match told.told {
-                Told::Own => quota.hear(self.now, told.incarnation, quota_told),
+            match told.scope {
+                DigestScope::Own => quota.hear(self.now, told.incarnation, quota_told),
                 _ => quota.hear_sum(self.now, told.incarnation, quota_told, told.nodes),
             }
         }
--- a/crates/gateway/src/knowledge/members.rs
+++ b/crates/gateway/src/cluster/members.rs
@@ -9,7 +9,7 @@
 use bulrushhall_core::{Event, Incarnation, NodeName, ServiceName, Stamp, ZoneName};
 use serde::{Deserialize, Serialize};
 
-use crate::{change_log::ChangeLog, demand::Offered, knowledge::MemberNews};
+use crate::{change_log::ChangeLog, cluster::MemberNews, demand::Offered};
 
 /// How long a node that is not heard still counts as there: four exchanges of 250 ms and a little.
 const HEARD_FOR: Duration = Duration::from_millis(1_200);
@@ -42,7 +42,7 @@
     /// The number of the last change of that.
     pub changed_at: u64,
     /// When it was last heard, by this node or by a relay that passed it on.
-    pub heard_at: Option<Stamp>,
+    pub last_received: Option<Stamp>,
     /// When this node last heard it.
     pub direct_at: Option<Stamp>,
     /// Since when it owes this node an answer.
@@ -77,7 +77,7 @@
             record,
             listed: false,
             changed_at: 0,
-            heard_at: None,
+            last_received: None,
             direct_at: None,
             unanswered_since: None,
             told_at: None,
@@ -89,7 +89,7 @@
 
     /// Notes a message of the node itself.
     pub fn note_message(&mut self, now: Stamp, ready: bool) {
-        self.heard_at = Some(now);
+        self.last_received = Some(now);
         self.direct_at = Some(now);
         self.unanswered_since = None;
         self.ready = ready;
@@ -97,15 +97,15 @@
 
     /// Notes that a relay heard the node at `at`.
     pub fn note_passed_on(&mut self, at: Stamp, ready: bool) {
-        if self.heard_at < Some(at) {
-            self.heard_at = Some(at);
+        if self.last_received < Some(at) {
+            self.last_received = Some(at);
             self.ready = ready;
         }
     }
 
     /// Returns whether the node itself, or a relay of it, was heard lately.
     pub fn is_heard(&self, now: Stamp) -> bool {
-        self.heard_at.is_some_and(|at| now.since(at) < HEARD_FOR)
+        self.last_received.is_some_and(|at| now.since(at) < HEARD_FOR)
     }
 
     /// Returns whether this node heard it lately.
@@ -238,7 +238,7 @@
     pub fn expire(&mut self, now: Stamp) {
         let lives = &mut self.lives;
         self.nodes.retain(|name, member| {
-            let last = member.heard_at.max(member.told_at);
+            let last = member.last_received.max(member.told_at);
             let heard = last.is_some_and(|at| now.since(at) < UNLISTED_FOR);
             if !member.listed && !heard {
                 tracing::info!(event = Event::MemberLost.number(), node = %name);
@@ -284,7 +284,7 @@
     }
 
     /// Returns the number of other nodes that are heard.
-    pub fn heard(&self, now: Stamp) -> usize {
+    pub fn live_count(&self, now: Stamp) -> usize {
         self.nodes.values().filter(|member| member.is_heard(now)).count()
     }
 
@@ -294,7 +294,7 @@
     }
 
     /// Returns whether a life of a node is known.
-    pub fn is_alive(&self, incarnation: Incarnation) -> bool {
+    pub fn is_known(&self, incarnation: Incarnation) -> bool {
         self.lives.contains_key(&incarnation)
     }
 
@@ -303,7 +303,7 @@
     /// A node that hears nobody can't tell who serves and names all: callers try others where one
     /// does not answer.
     pub fn serving(&self, now: Stamp) -> Vec<SocketAddr> {
-        let deaf = self.heard(now) == 0;
+        let deaf = self.live_count(now) == 0;
         let mut addresses = Vec::new();
         for member in self.nodes.values() {
             if deaf || (member.is_heard(now) && member.ready) {
--- a/crates/gateway/src/knowledge/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -12,8 +12,8 @@
 
 use crate::{
     clock,
+    cluster::{Follower, MemberRecord, follow},
     gateway::{Gateway, Phase},
-    knowledge::{Follower, MemberRecord, follow},
 };
 
 /// What lies below this prefix is watched by every node.
@@ -124,7 +124,7 @@
 
 impl Follower for MemberFollower {
     fn is_fed(&self) -> bool {
-        self.gateway.with(|state| state.records_fed(clock::now()).is_some())
+        self.gateway.with(|state| state.relay_cursor(clock::now()).is_some())
     }
 
     fn times_fed(&self) -> u64 {
--- a/crates/gateway/src/knowledge/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -19,7 +19,7 @@
 
 pub use backends::follow_backends;
 pub use config::{follow_config, take_config};
-pub use digest::{BackendLoad, Digest, Document, HeardLife, RecordsKnown, Told};
+pub use digest::{BackendLoad, Digest, DigestScope, Document, HeardLife, RecordsKnown};
 pub use exchange::exchange;
 pub use follow::{Follower, follow};
 pub use members::{Member, MemberRecord, Members};
--- a/crates/gateway/src/knowledge/peer_port.rs
+++ b/crates/gateway/src/cluster/peer_port.rs
@@ -12,13 +12,13 @@
 use crate::{
     backends::RecordNews,
     clock,
-    gateway::Gateway,
-    knowledge::{
-        Digest, Document, MemberNews, RecordsKnown, Told,
+    cluster::{
+        Digest, DigestScope, Document, MemberNews, RecordsKnown,
         exchange::{ANSWER, DIGEST_PATH, DOCUMENT_PATH, MESSAGE_LIMIT, endpoint, read_document},
         hear::hear,
         tell::{Message, digest},
     },
+    gateway::Gateway,
 };
 
 /// A `PeerPort` answers other nodes.
@@ -54,17 +54,18 @@
     }
 
     fn exchange(&self, told: Digest) -> Response<Body> {
-        let (wants, asker, known) = (told.wants, told.incarnation, told.records_known);
-        if wants == Told::Others {
+        let (reply_scope, asker, known) = (told.reply_scope, told.incarnation, told.records_known);
+        if reply_scope == DigestScope::Others {
             self.gateway.with(|state| state.relay_asked_at = Some(clock::now()));
         }
         if let Some(reading) = hear(&self.gateway, None, told) {
             let endpoint = endpoint(reading.address);
             tokio::spawn(async move { read_document(reading, &endpoint).await });
         }
-        let answer = Message { told: wants, wants: Told::Nothing, to: Some(asker) };
+        let answer =
+            Message { scope: reply_scope, reply_scope: DigestScope::Nothing, to: Some(asker) };
         let mut answer = digest(&self.gateway, answer);
-        if wants == Told::Others {
+        if reply_scope == DigestScope::Others {
             answer.records = self.records(known);
         }
         encoded(&answer)
--- a/crates/gateway/src/knowledge/tell.rs
+++ b/crates/gateway/src/cluster/tell.rs
@@ -8,9 +8,9 @@
 
 use crate::{
     clock,
+    cluster::{BackendLoad, Digest, DigestScope, HeardLife, as_millis},
     demand::Offered,
     gateway::{Gateway, State},
-    knowledge::{BackendLoad, Digest, HeardLife, Told, as_millis},
 };
 
 /// For how long a part that was sent is told, so that three of four exchanges may be lost.
@@ -28,9 +28,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Message {
     /// Which nodes it is about.
-    pub told: Told,
+    pub scope: DigestScope,
     /// Which nodes the answer shall be about.
-    pub wants: Told,
+    pub reply_scope: DigestScope,
     /// The life that gets it, where it is for one alone.
     pub to: Option<Incarnation>,
 }
@@ -41,23 +41,23 @@
     let ready = gateway.is_ready();
     let revision = gateway.revision();
     gateway.with(|state| {
-        let Message { told, wants, .. } = message;
+        let Message { scope, reply_scope, .. } = message;
         let age = state.freshness.age(now);
         let unlisted = state.members.unlisted(now);
         let mut digest = Digest {
             record: Some(gateway.record()),
             unlisted: unlisted.map(|(name, record)| (name.clone(), record.clone())).collect(),
-            day_ms: as_millis(gateway.own_day()),
+            wall_clock_ms: as_millis(gateway.own_day()),
             ready,
             revision,
             config_age_ms: age.map(as_millis),
             records_steady_ms: state.records_steady_since.map(|since| as_millis(now.since(since))),
-            told,
-            wants,
-            records_known: state.records_fed(now).filter(|_| wants == Told::Others),
+            scope,
+            reply_scope,
+            records_known: state.relay_cursor(now).filter(|_| reply_scope == DigestScope::Others),
             ..Digest::new(gateway.settings.gateway.name.clone(), gateway.incarnation)
         };
-        if told != Told::Nothing {
+        if scope != DigestScope::Nothing {
             let teller = Teller { gateway, now, message };
             teller.fill(state, &mut digest);
         }
@@ -76,10 +76,10 @@
         digest.heard = self.heard(state);
         digest.nodes = u32::try_from(digest.heard.len() + 1).unwrap_or(u32::MAX);
         for (team, quota) in &state.quotas {
-            let told = match self.message.told {
-                Told::Zone => quota.told_of_zone(self.now),
-                Told::Others => quota.told_of_others(self.now, self.receiver()),
-                Told::Own | Told::Nothing => quota.told(self.now),
+            let told = match self.message.scope {
+                DigestScope::Zone => quota.told_of_zone(self.now),
+                DigestScope::Others => quota.told_of_others(self.now, self.receiver()),
+                DigestScope::Own | DigestScope::Nothing => quota.told(self.now),
             };
             let QuotaTold { total, asked } = told;
             digest.quotas.push((team.clone(), total));
@@ -90,7 +90,7 @@
         digest.loads = self.loads(state);
         digest.offered = self.offered(state);
         // What only this node knows is lost with it.
-        let is_own = self.message.told == Told::Own;
+        let is_own = self.message.scope == DigestScope::Own;
         if is_own || state.exchanges.is_multiple_of(LATE_NEWS_EACH) {
             digest.usage = self.usage(state);
             for (service, observed) in &state.observed {
@@ -109,12 +109,12 @@
         let zone = &self.gateway.settings.gateway.zone;
         for (_, member) in state.members.iter() {
             let life = member.record.incarnation;
-            let is_told = match self.message.told {
-                Told::Zone => member.record.zone == *zone && member.is_heard_here(self.now),
-                Told::Others => life != self.receiver() && member.is_heard(self.now),
-                Told::Own | Told::Nothing => false,
+            let is_told = match self.message.scope {
+                DigestScope::Zone => member.record.zone == *zone && member.is_heard_here(self.now),
+                DigestScope::Others => life != self.receiver() && member.is_heard(self.now),
+                DigestScope::Own | DigestScope::Nothing => false,
             };
-            let Some(at) = member.heard_at.filter(|_| is_told) else { continue };
+            let Some(at) = member.last_received.filter(|_| is_told) else { continue };
             let age_ms = u16::try_from(as_millis(self.now.since(at))).unwrap_or(u16::MAX);
             heard.push(HeardLife { life, ready: member.ready, age_ms });
         }
@@ -122,22 +122,22 @@
     }
 
     fn loads(&self, state: &mut State) -> Vec<BackendLoad> {
-        let (now, told, receiver) = (self.now, self.message.told, self.receiver());
+        let (now, scope, receiver) = (self.now, self.message.scope, self.receiver());
         let is_flat = state.relays.role == Role::Flat;
         let told_for = if is_flat { PARTS_TOLD_FOR } else { PARTS_PASSED_ON_FOR };
         let sources = &state.sources;
         let mut loads = Vec::new();
         for (_, backend) in state.backends.iter_mut() {
-            let load = match told {
-                Told::Zone => backend.load(now, |life| !sources.has(life)),
-                Told::Others => backend.load(now, |life| life != receiver),
-                Told::Own | Told::Nothing => backend.own,
+            let load = match scope {
+                DigestScope::Zone => backend.load(now, |life| !sources.has(life)),
+                DigestScope::Others => backend.load(now, |life| life != receiver),
+                DigestScope::Own | DigestScope::Nothing => backend.own,
             };
             let mut parts: Vec<PromptPart> = backend.recent.told(now, told_for);
-            if matches!(told, Told::Zone | Told::Others) {
+            if matches!(scope, DigestScope::Zone | DigestScope::Others) {
                 parts.extend(backend.recent_near.told(now, told_for));
             }
-            if told == Told::Others {
+            if scope == DigestScope::Others {
                 parts.extend(backend.recent_far.told(now, told_for));
             }
             parts.sort_unstable_by_key(|part| part.id);
@@ -157,10 +157,10 @@
         }
         for (_, member) in state.members.iter() {
             let life = member.record.incarnation;
-            let is_told = match self.message.told {
-                Told::Zone => member.record.zone == *zone && !state.sources.has(life),
-                Told::Others => life != self.receiver(),
-                Told::Own | Told::Nothing => false,
+            let is_told = match self.message.scope {
+                DigestScope::Zone => member.record.zone == *zone && !state.sources.has(life),
+                DigestScope::Others => life != self.receiver(),
+                DigestScope::Own | DigestScope::Nothing => false,
             };
             if !is_told {
                 continue;
@@ -174,16 +174,18 @@
     }
 
     fn usage(&self, state: &State) -> Vec<(Window, TeamCounts)> {
-        let rounds = match self.message.told {
-            Told::Own | Told::Nothing => state.exchanges,
-            Told::Zone | Told::Others => state.exchanges / LATE_NEWS_EACH,
+        let rounds = match self.message.scope {
+            DigestScope::Own | DigestScope::Nothing => state.exchanges,
+            DigestScope::Zone | DigestScope::Others => state.exchanges / LATE_NEWS_EACH,
         };
         let is_for_all = rounds.is_multiple_of(ALL_WINDOWS_EACH);
         let which = if is_for_all { ToldWindows::All } else { ToldWindows::Newest };
-        match self.message.told {
-            Told::Zone => state.usage.of_zone(&self.gateway.settings.gateway.zone, which),
-            Told::Others => state.usage.of_others(self.receiver(), which),
-            Told::Own | Told::Nothing => state.usage.of(self.gateway.incarnation, which),
+        match self.message.scope {
+            DigestScope::Zone => state.usage.of_zone(&self.gateway.settings.gateway.zone, which),
+            DigestScope::Others => state.usage.of_others(self.receiver(), which),
+            DigestScope::Own | DigestScope::Nothing => {
+                state.usage.of(self.gateway.incarnation, which)
+            }
         }
     }
 }
--- a/crates/gateway/src/duties/holder.rs
+++ b/crates/gateway/src/duties/holder.rs
@@ -17,11 +17,11 @@
 use tokio::time::sleep;
 
 use crate::{
-    border::Authority,
+    adapter::Authority,
     clock,
+    cluster::DUTY_KEY,
     duties::within,
     gateway::{Gateway, Phase},
-    knowledge::DUTY_KEY,
     meters,
 };
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -20,11 +20,11 @@
 use tokio::sync::watch;
 
 use crate::{
+    adapter::{Orders, Records, Wire},
     backends::Backends,
-    border::{Orders, Records, Wire},
     clock,
+    cluster::{MemberRecord, Members, RecordsKnown},
     demand::Demand,
-    knowledge::{MemberRecord, Members, RecordsKnown},
     observed::Observed,
     settings::Settings,
     table::RouteTable,
@@ -113,7 +113,7 @@
 
 impl State {
     /// Returns up to where a relay tells this node the records of backend servers; none while none does.
-    pub fn records_fed(&self, now: Stamp) -> Option<RecordsKnown> {
+    pub fn relay_cursor(&self, now: Stamp) -> Option<RecordsKnown> {
         let (known, at) = self.fed_records?;
         (self.relays.role == Role::Member && now.since(at) < FED_FOR).then_some(known)
     }
@@ -162,7 +162,7 @@
 impl Gateway {
     /// Returns a node that knows nothing yet.
     pub fn new(settings: Settings, platform: Platform) -> Gateway {
-        let day = clock::time_of_day();
+        let day = clock::wall_clock();
         let started = u64::try_from(day.as_millis()).unwrap_or(u64::MAX);
         let incarnation = Incarnation((started << 12) | rand::rng().random_range(0..1 << 12));
         let restarted_at = (!settings.gateway.first_start).then(clock::now);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,15 +1,15 @@
 //! Serving of routes: the way of a request from a caller to a backend server, for platforms whose
 //! callers, backend servers and operators speak a dialect of their own.
 
+pub mod adapter;
 pub mod backends;
-pub mod border;
 pub mod change_log;
 pub mod clock;
+pub mod cluster;
 pub mod demand;
 pub mod duties;
 pub mod fleet_settings;
 pub mod gateway;
-pub mod knowledge;
 pub mod meters;
 pub mod node;
 pub mod observed;
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -8,9 +8,9 @@
 use tokio::{sync::watch, task::JoinHandle, time::sleep};
 
 use crate::{
+    cluster::{PeerPort, exchange, follow_backends, follow_config, follow_members, register},
     duties::{Holder, carry_out, keep},
     gateway::{Gateway, Phase, Platform},
-    knowledge::{PeerPort, exchange, follow_backends, follow_config, follow_members, register},
     ports::{CallerPort, DirectoryPort, ReadinessPort},
     settings::Settings,
 };
--- a/crates/gateway/src/pipeline/attempt.rs
+++ b/crates/gateway/src/pipeline/attempt.rs
@@ -13,8 +13,8 @@
 use tokio::time::timeout;
 
 use crate::{
+    adapter::{ResponseHead, SendHead},
     backends::{Connection, OpenError},
-    border::{AnswerHead, SendHead},
     clock,
     gateway::Gateway,
     meters,
@@ -83,7 +83,7 @@
 /// An `Answering` is an answer whose head is there.
 pub struct Answering {
     /// What the head says.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// The head.
     pub parts: response::Parts,
     /// What follows it.
@@ -116,7 +116,7 @@
     let sent = send(gateway, req, original, place, resume_after, silence).await;
     let answered = sent.and_then(|(response, connection)| {
         let (parts, body) = response.into_parts();
-        let head = gateway.platform.wire.read_answer(&parts);
+        let head = gateway.platform.wire.read_response(&parts);
         judge(req, &head)?;
         Ok((head, parts, body, connection))
     });
@@ -204,7 +204,7 @@
 
 // A late answer to an earlier request may come first on a kept connection. Passed on, a caller would
 // read what is meant for another.
-fn judge(req: &Identified, head: &AnswerHead) -> Result<(), SendFailed> {
+fn judge(req: &Identified, head: &ResponseHead) -> Result<(), SendFailed> {
     let own = head.id.as_deref() == Some(req.call.id.as_str());
     if head.id.is_some() && !own {
         return Err(unknown(SendFault::Foreign));
--- a/crates/gateway/src/pipeline/failure.rs
+++ b/crates/gateway/src/pipeline/failure.rs
@@ -5,7 +5,7 @@
 use bulrushhall_core::Ran;
 use hyper::StatusCode;
 
-use crate::border::{CallProblem, Refusal};
+use crate::adapter::{CallProblem, Refusal};
 
 /// How long a caller is told to wait where nothing tells when it may be better.
 const AFTER_UNKNOWN: Duration = Duration::from_millis(500);
--- a/crates/gateway/src/pipeline/identify.rs
+++ b/crates/gateway/src/pipeline/identify.rs
@@ -5,7 +5,7 @@
 use hyper::http::request;
 
 use crate::{
-    border::Call,
+    adapter::Call,
     gateway::Gateway,
     pipeline::Failure,
     table::{Route, RouteTable, TeamEntry},
--- a/crates/gateway/src/pipeline/place.rs
+++ b/crates/gateway/src/pipeline/place.rs
@@ -13,8 +13,8 @@
 };
 
 use crate::{
+    adapter::Prompt,
     backends::{Backend, Pool},
-    border::Prompt,
     clock,
     demand::Offered,
     gateway::{Gateway, State},
--- a/crates/gateway/src/pipeline/serve.rs
+++ b/crates/gateway/src/pipeline/serve.rs
@@ -132,10 +132,10 @@
 fn quota_amount(req: &Identified) -> f64 {
     let Some(team) = &req.team else { return 0.0 };
     let told = req.call.prompt.as_ref();
-    let told = told.map(|prompt| f64::from(prompt.tokens) + f64::from(prompt.answer_most));
+    let told = told.map(|prompt| f64::from(prompt.tokens) + f64::from(prompt.max_answer_tokens));
     match team.unit {
         QuotaUnit::Requests => 1.0,
-        QuotaUnit::Tokens { untold } => told.unwrap_or(untold),
+        QuotaUnit::Tokens { default_tokens } => told.unwrap_or(default_tokens),
     }
 }
 
@@ -264,7 +264,7 @@
     tried: Vec<WorkerKey>,
     mut trail: Trail,
 ) -> Response<Body> {
-    let headers = gateway.platform.wire.answer_headers(&answering.parts.headers);
+    let headers = gateway.platform.wire.response_headers(&answering.parts.headers);
     let status = answering.parts.status;
     let is_stream = req.route.cfg.kind.is_stream() && status.is_success();
     if !is_stream {
--- a/crates/gateway/src/ports/directory.rs
+++ b/crates/gateway/src/ports/directory.rs
@@ -33,7 +33,7 @@
             addresses.push(self.gateway.settings.ports.callers);
         }
         // A caller reads no more than so many. Always the first ones, callers would find the others never.
-        let most = self.gateway.settings.bounds.addresses_most;
+        let most = self.gateway.settings.bounds.max_addresses;
         if most < addresses.len() {
             addresses = addresses.sample(&mut rand::rng(), most).copied().collect();
         }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -120,7 +120,8 @@
     pub address_ttl: humantime::Duration,
     /// The most addresses that a caller is told at once.
     #[serde_as(as = "DisplayFromStr")]
-    pub addresses_most: usize,
+    #[serde(rename = "addresses_most")]
+    pub max_addresses: usize,
 }
 
 impl Settings {
@@ -144,7 +145,7 @@
     }
 
     /// Returns whether a settings file is one of a node that serves routes.
-    pub fn is_meant(text: &str) -> bool {
+    pub fn is_gateway_file(text: &str) -> bool {
         text.lines().any(|line| line.trim() == "[gateway]")
     }
 }
@@ -196,7 +197,7 @@
             quota_overage: 0.0,
             quota_headroom: 0.0,
             address_ttl: Duration::from_secs(2).into(),
-            addresses_most: 64,
+            max_addresses: 64,
         }
     }
 }
--- a/crates/gateway/src/table/team.rs
+++ b/crates/gateway/src/table/team.rs
@@ -11,7 +11,7 @@
     /// Each request counts as its tokens.
     Tokens {
         /// What a request counts as that tells no tokens.
-        untold: f64,
+        default_tokens: f64,
     },
 }
 
