--- a/crates/gateway/src/knowledge/hear.rs
+++ b/crates/gateway/src/cluster/hear.rs
@@ -9,8 +9,8 @@
 use crate::{
     backends::RecordNews,
     clock,
+    cluster::{BackendLoad, Digest, DigestScope, HeardLife, MemberNews, RecordsKnown, as_millis},
     gateway::{Gateway, State},
-    knowledge::{BackendLoad, Digest, HeardLife, MemberNews, RecordsKnown, Told, as_millis},
     meters,
     table::RouteTable,
 };
@@ -62,7 +62,7 @@
             return None;
         }
         member.note_message(now, told.ready);
-        member.day_ahead = Some(told.day_ms as i64 - as_millis(gateway.own_day()) as i64);
+        member.day_ahead = Some(told.wall_clock_ms as i64 - as_millis(gateway.own_day()) as i64);
         let address = member.record.peers;
         let zone = member.record.zone.clone();
         // Only who has the same configuration tells something about the age of this node's, and
@@ -101,7 +101,7 @@
         for (service, pace) in &told.paces {
             state.observed(service).engines.receive(*pace);
         }
-        if told.told == Told::Nothing {
+        if told.scope == DigestScope::Nothing {
             return;
         }
         self.take_usage(state, &told);
@@ -117,7 +117,7 @@
             member.offered = told.offered.iter().cloned().collect();
         }
         drop_loads(state, told.incarnation);
-        let is_sum = told.told != Told::Own;
+        let is_sum = told.scope != DigestScope::Own;
         for load in told.loads {
             self.take_load(state, told.incarnation, is_sum, load);
         }
@@ -160,7 +160,7 @@
             return;
         }
         // An answer may come late; what it tells may be older than what is known.
-        let fits = match state.records_fed(self.now) {
+        let fits = match state.relay_cursor(self.now) {
             None => backends.after == 0 && members.after == 0,
             Some(known) => {
                 let goes_on = |after, known, at| after <= known && known <= at;
