--- a/crates/daemon/tests/route_process.rs
+++ b/crates/daemon/tests/route_process.rs
@@ -1,19 +1,19 @@
 //! The daemon as a process of its own on the co-operative's platform.
 
-#[path = "../../../platform/tests/stage/mod.rs"]
-mod stage;
+#[path = "../../../platform/tests/harness/mod.rs"]
+mod harness;
 
 use std::{
     net::SocketAddr,
     process::{Child, Command, Stdio},
 };
 
-use stage::{
-    LEDGER, Stage,
-    backend::{Backend, Manner},
-    caller::{ask, get, read},
-    document::record,
-    open, until,
+use harness::{
+    Harness, LEDGER,
+    backend::{Backend, Behavior},
+    caller::{get_body, get_status, post},
+    document::backend_record,
+    start_server, wait_until,
 };
 
 struct Process {
@@ -52,20 +52,20 @@
 // the process end by itself, out of the addresses first.
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop() {
-    let stage = Stage::without_node().await;
-    let text = stage.settings_text("node-9");
+    let harness = Harness::without_node().await;
+    let text = harness.settings_text("node-9");
     let mut process = start(&text, Stdio::null());
     let callers = address_of(&text, "callers");
     let readiness = address_of(&text, "readiness");
-    until(async || get(readiness, "/readyz").await == Some(200)).await;
-    let backend = Backend::new("b-1", Manner::After(1_200));
-    let port = open(std::sync::Arc::<Backend>::clone(&backend));
-    stage.store.put("servers/b-1", &record(LEDGER, port.address, "ready").to_string());
-    until(async || ask(callers, "a-0", "/order/0").await.status == 200).await;
-    let asked = tokio::spawn(async move { ask(callers, "a-1", "/order/1").await });
-    until(async || backend.seen().iter().any(|seen| seen.path == "/order/1")).await;
+    wait_until(async || get_status(readiness, "/readyz").await == Some(200)).await;
+    let backend = Backend::new("b-1", Behavior::Delayed(1_200));
+    let port = start_server(std::sync::Arc::<Backend>::clone(&backend));
+    harness.store.put("servers/b-1", &backend_record(LEDGER, port.address, "ready").to_string());
+    wait_until(async || post(callers, "a-0", "/order/0").await.status == 200).await;
+    let asked = tokio::spawn(async move { post(callers, "a-1", "/order/1").await });
+    wait_until(async || backend.received().iter().any(|seen| seen.path == "/order/1")).await;
     terminate(&process);
-    until(async || get(readiness, "/readyz").await == Some(503)).await;
+    wait_until(async || get_status(readiness, "/readyz").await == Some(503)).await;
     let answer = asked.await.expect("an answer");
     assert_eq!((answer.status, answer.body.as_str()), (200, "done"));
     let ended = tokio::task::spawn_blocking(move || {
@@ -79,35 +79,35 @@
 // requests must be served all the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn unread_output() {
-    let stage = Stage::without_node().await;
-    let text = format!("{}\n[log]\nfilter = trace\n", stage.settings_text("node-8"));
+    let harness = Harness::without_node().await;
+    let text = format!("{}\n[log]\nfilter = trace\n", harness.settings_text("node-8"));
     let _process = start(&text, Stdio::piped());
     let callers = address_of(&text, "callers");
     let readiness = address_of(&text, "readiness");
-    until(async || get(readiness, "/readyz").await == Some(200)).await;
-    let backend = Backend::new("b-1", Manner::Whole);
-    let port = open(std::sync::Arc::<Backend>::clone(&backend));
-    stage.store.put("servers/b-1", &record(LEDGER, port.address, "ready").to_string());
-    until(async || ask(callers, "a", "/look/1").await.status == 200).await;
+    wait_until(async || get_status(readiness, "/readyz").await == Some(200)).await;
+    let backend = Backend::new("b-1", Behavior::Complete);
+    let port = start_server(std::sync::Arc::<Backend>::clone(&backend));
+    harness.store.put("servers/b-1", &backend_record(LEDGER, port.address, "ready").to_string());
+    wait_until(async || post(callers, "a", "/look/1").await.status == 200).await;
     for number in 0..600 {
-        assert_eq!(ask(callers, &format!("a-{number}"), "/look/1").await.status, 200);
+        assert_eq!(post(callers, &format!("a-{number}"), "/look/1").await.status, 200);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn served_metrics() {
-    let stage = Stage::without_node().await;
+    let harness = Harness::without_node().await;
     let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let metrics = free.local_addr().expect("an address");
     drop(free);
-    let text = stage.settings_text("node-7");
+    let text = harness.settings_text("node-7");
     let text = text.replace("[endpoints]", &format!("metrics = {metrics}\n[endpoints]"));
     let _process = start(&text, Stdio::null());
     let callers = address_of(&text, "callers");
     let readiness = address_of(&text, "readiness");
-    until(async || get(readiness, "/readyz").await == Some(200)).await;
-    assert_eq!(ask(callers, "a-1", "/look/1").await.status, 503);
-    let page = read(metrics, "/metrics").await;
+    wait_until(async || get_status(readiness, "/readyz").await == Some(200)).await;
+    assert_eq!(post(callers, "a-1", "/look/1").await.status, 503);
+    let page = get_body(metrics, "/metrics").await;
     assert!(
         page.contains("bulrush_route_requests_total{kind=\"idempotent\",outcome=\"no_backend\"} 1"),
         "{page}"
