--- a/crates/coord/tests/duty_lease.rs
+++ b/crates/coord/tests/duty_lease.rs
@@ -56,7 +56,7 @@
             },
             LeaseCall::Claim(lease) => match self.key {
                 Some((version, life, lease)) => {
-                    LeaseReply::Taken(FencingNumber(version), Holder { life, lease })
+                    LeaseReply::Taken(FencingNumber(version), Holder { incarnation: life, lease })
                 }
                 None if self.leases.contains_key(&lease) => {
                     self.key = Some((self.version, own, lease));
--- a/crates/gateway/src/cluster/hear.rs
+++ b/crates/gateway/src/cluster/hear.rs
@@ -126,11 +126,11 @@
     // Whether what is told of requests is taken in: each request must count once.
     fn is_source(&self, state: &mut State, told: &Digest) -> bool {
         let is_near = self.zone == self.gateway.settings.gateway.zone;
-        let scope = match (told.told, state.relays.role) {
-            (Told::Own, Role::Flat) => return true,
-            (Told::Own, Role::Relay) => return is_near,
-            (Told::Zone, Role::Relay) if !is_near => UpdateScope::Zone(self.zone.clone()),
-            (Told::Others, Role::Flat | Role::Member) => UpdateScope::Others,
+        let scope = match (told.scope, state.relays.role) {
+            (DigestScope::Own, Role::Flat) => return true,
+            (DigestScope::Own, Role::Relay) => return is_near,
+            (DigestScope::Zone, Role::Relay) if !is_near => UpdateScope::Zone(self.zone.clone()),
+            (DigestScope::Others, Role::Flat | Role::Member) => UpdateScope::Others,
             _ => return false,
         };
         match state.sources.offer(self.now, scope, told.incarnation, told.nodes) {
@@ -181,11 +181,11 @@
     }
 
     fn take_usage(&self, state: &mut State, told: &Digest) {
-        let of = match told.told {
-            Told::Own => UsageScope::Incarnation(told.incarnation, &self.zone),
-            Told::Zone => UsageScope::Zone(&self.zone),
-            Told::Others => UsageScope::Others,
-            Told::Nothing => return,
+        let of = match told.scope {
+            DigestScope::Own => UsageScope::Incarnation(told.incarnation, &self.zone),
+            DigestScope::Zone => UsageScope::Zone(&self.zone),
+            DigestScope::Others => UsageScope::Others,
+            DigestScope::Nothing => return,
         };
         for (window, counts) in &told.usage {
             state.usage.merge(*window, of, counts);
@@ -208,8 +208,8 @@
             let asked = asked.get(team).copied().unwrap_or(0.0);
             let quota_told = QuotaReport { total: *total, demand: asked };
             let quota = state.quota(team);
-            match told.told {
-                Told::Own => quota.receive(self.now, told.incarnation, quota_told),
+            match told.scope {
+                DigestScope::Own => quota.receive(self.now, told.incarnation, quota_told),
                 _ => quota.receive_sum(self.now, told.incarnation, quota_told, told.nodes),
             }
         }
--- a/crates/gateway/src/cluster/tell.rs
+++ b/crates/gateway/src/cluster/tell.rs
@@ -76,10 +76,10 @@
         digest.heard = self.heard(state);
         digest.nodes = u32::try_from(digest.heard.len() + 1).unwrap_or(u32::MAX);
         for (team, quota) in &state.quotas {
-            let told = match self.message.told {
-                Told::Zone => quota.zone_report(self.now),
-                Told::Others => quota.report_excluding(self.now, self.receiver()),
-                Told::Own | Told::Nothing => quota.report(self.now),
+            let told = match self.message.scope {
+                DigestScope::Zone => quota.zone_report(self.now),
+                DigestScope::Others => quota.report_excluding(self.now, self.receiver()),
+                DigestScope::Own | DigestScope::Nothing => quota.report(self.now),
             };
             let QuotaReport { total, demand: asked } = told;
             digest.quotas.push((team.clone(), total));
@@ -130,16 +130,16 @@
         let sources = &state.sources;
         let mut loads = Vec::new();
         for (_, backend) in state.backends.iter_mut() {
-            let load = match told {
-                Told::Zone => backend.load(now, |life| !sources.contains(life)),
-                Told::Others => backend.load(now, |life| life != receiver),
-                Told::Own | Told::Nothing => backend.own,
+            let load = match scope {
+                DigestScope::Zone => backend.load(now, |life| !sources.contains(life)),
+                DigestScope::Others => backend.load(now, |life| life != receiver),
+                DigestScope::Own | DigestScope::Nothing => backend.own,
             };
             let mut parts: Vec<PromptPart> = backend.recent.updates(now, told_for);
-            if matches!(told, Told::Zone | Told::Others) {
+            if matches!(scope, DigestScope::Zone | DigestScope::Others) {
                 parts.extend(backend.recent_near.updates(now, told_for));
             }
-            if told == Told::Others {
+            if scope == DigestScope::Others {
                 parts.extend(backend.recent_far.updates(now, told_for));
             }
             parts.sort_unstable_by_key(|part| part.id);
@@ -159,10 +159,10 @@
         }
         for (_, member) in state.members.iter() {
             let life = member.record.incarnation;
-            let is_told = match self.message.told {
-                Told::Zone => member.record.zone == *zone && !state.sources.contains(life),
-                Told::Others => life != self.receiver(),
-                Told::Own | Told::Nothing => false,
+            let is_told = match self.message.scope {
+                DigestScope::Zone => member.record.zone == *zone && !state.sources.contains(life),
+                DigestScope::Others => life != self.receiver(),
+                DigestScope::Own | DigestScope::Nothing => false,
             };
             if !is_told {
                 continue;
@@ -182,10 +182,12 @@
         };
         let is_for_all = rounds.is_multiple_of(ALL_WINDOWS_EACH);
         let which = if is_for_all { WindowSelection::All } else { WindowSelection::Newest };
-        match self.message.told {
-            Told::Zone => state.usage.of_zone(&self.gateway.settings.gateway.zone, which),
-            Told::Others => state.usage.of_others(self.receiver(), which),
-            Told::Own | Told::Nothing => state.usage.of(self.gateway.incarnation, which),
+        match self.message.scope {
+            DigestScope::Zone => state.usage.of_zone(&self.gateway.settings.gateway.zone, which),
+            DigestScope::Others => state.usage.of_others(self.receiver(), which),
+            DigestScope::Own | DigestScope::Nothing => {
+                state.usage.of(self.gateway.incarnation, which)
+            }
         }
     }
 }
