--- a/crates/daemon/src/callers/entries.rs
+++ b/crates/daemon/src/callers/entries.rs
@@ -4,11 +4,11 @@
 
 use bulrushhall_coord::{
     Candidate,
-    entries::{ADDRESSES, order},
+    entries::{MAX_ADDRESSES, order},
 };
 use bulrushhall_core::{
     Incarnation,
-    entries::{Entry, EntryList},
+    entries::{EntryList, EntryPoint},
 };
 use bulrushhall_external::http::Body;
 use hyper::{Response, http::request::Parts};
@@ -39,7 +39,7 @@
 }
 
 /// Returns the addresses for one caller, best first.
-fn entries(cx: &Context, caller: u64) -> Vec<Entry> {
+fn entries(cx: &Context, caller: u64) -> Vec<EntryPoint> {
     if cx.is_isolated() {
         return Vec::new();
     }
@@ -47,7 +47,7 @@
     members.push(cx.own_member());
     members.retain(|member| !member.leaving);
     let candidates: Vec<Candidate> = members.iter().map(candidate).collect();
-    let ordered = order(caller, &candidates, ADDRESSES);
+    let ordered = order(caller, &candidates, MAX_ADDRESSES);
     let ordered = ordered.into_iter().filter_map(|chosen| find(&members, chosen.incarnation));
     ordered.map(entry).collect()
 }
@@ -65,8 +65,8 @@
     members.iter().find(|member| member.incarnation == incarnation)
 }
 
-fn entry(member: &Member) -> Entry {
-    Entry {
+fn entry(member: &Member) -> EntryPoint {
+    EntryPoint {
         node: member.node.clone(),
         zone: member.zone.clone(),
         address: member.callers,
--- a/crates/gateway/src/backends/backend.rs
+++ b/crates/gateway/src/backends/backend.rs
@@ -8,8 +8,8 @@
 };
 
 use crate::{
+    adapter::{BackendRecord, BackendState},
     backends::{Load, Pool},
-    border::{BackendRecord, BackendState},
 };
 
 /// How long another node's word on its load counts: four exchanges of 250 ms may be lost or late.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,7 +8,8 @@
 
 use arc_swap::ArcSwapOption;
 use bulrushhall_coord::{
-    CatchUp, Freshness, NewsSources, RelayPlan, Role, UsageCounts, Window, usage::correction,
+    CatchUp, Freshness, RelayPlan, Role, UpdateSources, UsageCounts, Window,
+    usage::clock_correction,
 };
 use bulrushhall_core::{Incarnation, Revision, ServiceName, Stamp, TeamName};
 use bulrushhall_external::KeyValue;
@@ -20,11 +21,11 @@
 use tokio::sync::watch;
 
 use crate::{
+    adapter::{Orders, Records, Wire},
     backends::Backends,
-    border::{Orders, Records, Wire},
     clock,
+    cluster::{MemberRecord, Members, RecordsKnown},
     demand::Demand,
-    knowledge::{MemberRecord, Members, RecordsKnown},
     observed::Observed,
     settings::Settings,
     table::RouteTable,
@@ -80,7 +81,7 @@
     /// Whom this node exchanges news with.
     pub relays: RelayPlan,
     /// The relays whose sums are taken in.
-    pub sources: NewsSources,
+    pub sources: UpdateSources,
     /// When another node last took this one for a relay.
     pub relay_asked_at: Option<Stamp>,
     /// The exchanges since the start.
@@ -113,7 +114,7 @@
 
 impl State {
     /// Returns up to where a relay tells this node the records of backend servers; none while none does.
-    pub fn records_fed(&self, now: Stamp) -> Option<RecordsKnown> {
+    pub fn relay_cursor(&self, now: Stamp) -> Option<RecordsKnown> {
         let (known, at) = self.fed_records?;
         (self.relays.role == Role::Member && now.since(at) < FED_FOR).then_some(known)
     }
@@ -162,7 +163,7 @@
 impl Gateway {
     /// Returns a node that knows nothing yet.
     pub fn new(settings: Settings, platform: Platform) -> Gateway {
-        let day = clock::time_of_day();
+        let day = clock::wall_clock();
         let started = u64::try_from(day.as_millis()).unwrap_or(u64::MAX);
         let incarnation = Incarnation((started << 12) | rand::rng().random_range(0..1 << 12));
         let restarted_at = (!settings.gateway.first_start).then(clock::now);
@@ -223,7 +224,7 @@
 
     // The time of day that most nodes agree on.
     fn day(&self) -> Duration {
-        let ahead = self.with(|state| correction(state.members.days_ahead()));
+        let ahead = self.with(|state| clock_correction(state.members.days_ahead()));
         let shift = Duration::from_millis(ahead.unsigned_abs());
         let own = self.own_day();
         if ahead < 0 { own.saturating_sub(shift) } else { own + shift }
