--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -116,10 +116,10 @@
     /// Records the first attempt of a call.
     pub fn record_first_attempt(&mut self, service: &ServiceName, team: &TeamName) {
         let RetryOptions { ratio, max_balance, .. } = self.options;
-        let of_service = self.services.entry(service.clone()).or_default();
-        *of_service = (*of_service + ratio).min(max_balance);
-        let of_team = self.teams.entry((service.clone(), team.clone())).or_default();
-        *of_team = (*of_team + ratio).min(max_balance);
+        let service_balance = self.services.entry(service.clone()).or_default();
+        *service_balance = (*service_balance + ratio).min(max_balance);
+        let team_balance = self.teams.entry((service.clone(), team.clone())).or_default();
+        *team_balance = (*team_balance + ratio).min(max_balance);
     }
 
     /// Decides on a retry after a failed attempt and charges the budgets for it.
@@ -178,15 +178,15 @@
 
     /// Charges the budgets for a retry or a hedged request; returns whether both sufficed.
     pub fn try_spend(&mut self, service: &ServiceName, team: &TeamName) -> bool {
-        let Some(of_service) = self.services.get_mut(service) else { return false };
-        let Some(of_team) = self.teams.get_mut(&(service.clone(), team.clone())) else {
+        let Some(service_balance) = self.services.get_mut(service) else { return false };
+        let Some(team_balance) = self.teams.get_mut(&(service.clone(), team.clone())) else {
             return false;
         };
-        if *of_service < 1.0 || *of_team < 1.0 {
+        if *service_balance < 1.0 || *team_balance < 1.0 {
             return false;
         }
-        *of_service -= 1.0;
-        *of_team -= 1.0;
+        *service_balance -= 1.0;
+        *team_balance -= 1.0;
         true
     }
 
