--- a/crates/core/src/config/backend_address.rs
+++ b/crates/core/src/config/backend_address.rs
@@ -1,4 +1,4 @@
-//! Where a backend server with a fixed address is.
+//! Backend servers with fixed addresses.
 
 use std::{error, fmt, net::SocketAddr, str::FromStr};
 
@@ -13,7 +13,7 @@
     pub vm: VmName,
     /// The availability zone of the VM.
     pub zone: ZoneName,
-    /// Where the backend server listens.
+    /// The address that the backend server listens on.
     pub address: SocketAddr,
 }
 
--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/check.rs
@@ -1,13 +1,14 @@
-//! Checks over a whole deployment: references between its parts and values that contradict.
+//! Validation of a whole deployment: references between its parts and contradictory values.
 
 use std::fmt::Display;
 
 use crate::{
-    config::{Deployment, Problem, Section, ServiceType, nearest},
+    config::{Deployment, Problem, Section, ServiceType, closest_match},
     name::Name,
 };
 
-/// Returns every reference in `deployment` that leads nowhere and every contradiction.
+/// Returns a problem for every reference in `deployment` to a missing section and for every
+/// contradiction.
 pub fn check(file: &str, sections: &[Section], deployment: &Deployment) -> Vec<Problem> {
     let mut check = Check { file, sections, deployment, problems: Vec::new() };
     check.services();
@@ -55,8 +56,9 @@
             }
             let plain = cfg.service_type == ServiceType::Plain;
             for method in &cfg.idempotent_methods {
-                let safe = matches!(method.as_str(), "GET" | "HEAD" | "OPTIONS" | "PUT" | "DELETE");
-                if !plain || safe {
+                let idempotent =
+                    matches!(method.as_str(), "GET" | "HEAD" | "OPTIONS" | "PUT" | "DELETE");
+                if !plain || idempotent {
                     continue;
                 }
                 let hint = "write GET, HEAD, OPTIONS, PUT or DELETE";
@@ -84,7 +86,7 @@
                 );
             }
             if cfg.answers == 0 {
-                let message = format!("engines {name}: an engine takes no answers");
+                let message = format!("engines {name}: answers is 0");
                 self.add(("engines", name), "answers", message, "write at least 1");
             }
         }
@@ -109,7 +111,7 @@
                 self.add(("model", name), "version", message, hint);
             }
             if cfg.max_tokens == 0 {
-                let message = format!("model {name}: answers may have no tokens");
+                let message = format!("model {name}: max_tokens is 0");
                 self.add(("model", name), "max_tokens", message, "write at least 1");
             }
         }
@@ -133,11 +135,11 @@
             let version = deployment.versions.get(&cfg.version);
             if version.is_some_and(|version| version.model != cfg.model) {
                 let message =
-                    format!("rollout {name}: {} is no version of {}", cfg.version, cfg.model);
+                    format!("rollout {name}: {} is not a version of {}", cfg.version, cfg.model);
                 self.add(("rollout", name), "version", message, "name a version of the model");
             }
             if cfg.step == 0 {
-                let message = format!("rollout {name} would change no engine");
+                let message = format!("rollout {name}: step is 0");
                 self.add(("rollout", name), "step", message, "write at least 1");
             }
         }
@@ -153,7 +155,7 @@
                 self.add(("class", name), "deadline", message, "make the deadline longer");
             }
             if cfg.patience.is_some_and(|patience| *cfg.deadline <= *patience) {
-                let message = format!("class {name}: patience lasts up to the deadline or longer");
+                let message = format!("class {name}: patience is not shorter than the deadline");
                 self.add(
                     ("class", name),
                     "patience",
@@ -167,7 +169,7 @@
     fn teams(&mut self) {
         for (name, cfg) in &self.deployment.teams {
             if cfg.share == 0 {
-                let message = format!("team {name} has no share, so that it would never be served");
+                let message = format!("team {name} has no share, so it would never be served");
                 self.add(("team", name), "share", message, "write at least 1");
             }
             for (other, other_cfg) in &self.deployment.teams {
@@ -188,7 +190,7 @@
                 self.reference(("route", name), "services", &share.service, &deployment.services);
             }
             if cfg.services.iter().all(|share| share.weight == 0) {
-                let message = format!("route {name} leads to no service");
+                let message = format!("route {name} has no service with a weight above 0");
                 self.add(("route", name), "services", message, "write services = NAME@1");
             }
             if cfg.host.is_empty() || cfg.host != cfg.host.to_ascii_lowercase() {
@@ -196,11 +198,12 @@
                 self.add(("route", name), "host", message, "write host = desk.example");
             }
             if !cfg.prefix.starts_with('/') || !cfg.prefix.ends_with('/') {
-                let message = format!("route {name}: a prefix begins and ends with a slash");
+                let message =
+                    format!("route {name}: the prefix does not begin and end with a slash");
                 self.add(("route", name), "prefix", message, "write prefix = /orders/");
             }
             if cfg.attempts == 0 {
-                let message = format!("route {name} allows no send");
+                let message = format!("route {name}: attempts is 0");
                 self.add(("route", name), "attempts", message, "write attempts = 1");
             }
             if cfg.timeout.is_zero() {
@@ -217,7 +220,7 @@
                 self.reference(("vm-class", name), "zones", zone, &deployment.zones);
             }
             if cfg.reclaimable_price.is_none() && cfg.on_demand_price.is_none() {
-                let message = format!("VM class {name} has no price, so that none would be bought");
+                let message = format!("VM class {name} has no price, so none would be bought");
                 let hint = "write reclaimable_price = 0.35/h or on_demand_price = 1.20/h";
                 self.add(("vm-class", name), "reclaimable_price", message, hint);
             }
@@ -237,25 +240,25 @@
 
     fn reference<K, T>(
         &mut self,
-        of: (&str, &dyn Display),
+        from: (&str, &dyn Display),
         key: &str,
         target: &Name<K>,
-        among: &std::collections::BTreeMap<Name<K>, T>,
+        targets: &std::collections::BTreeMap<Name<K>, T>,
     ) where
         K: crate::name::NameKind,
     {
-        if among.contains_key(target) {
+        if targets.contains_key(target) {
             return;
         }
         let kind = K::WORD;
-        let (section, name) = of;
+        let (section, name) = from;
         let message = format!("{section} {name} names the {kind} {target}, which is missing");
-        let near = nearest(target.as_str(), among.keys().map(Name::as_str));
-        let hint = match near {
-            Some(near) => format!("did you mean {near}?"),
+        let suggestion = closest_match(target.as_str(), targets.keys().map(Name::as_str));
+        let hint = match suggestion {
+            Some(suggestion) => format!("did you mean {suggestion}?"),
             None => format!("add a section [{} {target}]", section_of(kind)),
         };
-        self.add(of, key, message, hint);
+        self.add(from, key, message, hint);
     }
 
     fn add(
@@ -273,7 +276,7 @@
     }
 }
 
-// What a name names is called by its word in messages and by its section in the text.
+// Returns the kind of section that defines names of a kind, which messages call by another word.
 fn section_of(kind: &str) -> &str {
     match kind {
         "availability zone" => "zone",
--- a/crates/core/src/config/class.rs
+++ b/crates/core/src/config/class.rs
@@ -1,11 +1,11 @@
-//! The kinds of requests.
+//! Request classes.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
 
-/// A `ClassConfig` describes one kind of request.
+/// A `ClassConfig` describes one class of requests.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -13,16 +13,16 @@
     /// The priority; 0 is the most urgent.
     #[serde_as(as = "DisplayFromStr")]
     pub priority: u8,
-    /// The time within which the first token is to come.
+    /// The target time to the first token.
     #[serde_as(as = "DisplayFromStr")]
     pub first_token: humantime::Duration,
-    /// The time between two tokens that is not to be passed.
+    /// The target for the maximum time between two tokens.
     #[serde_as(as = "DisplayFromStr")]
     pub token_gap: humantime::Duration,
-    /// The time within which the whole answer is to come.
+    /// The time limit for the complete response.
     #[serde_as(as = "DisplayFromStr")]
     pub deadline: humantime::Duration,
-    /// The longest wait after which a request goes before more urgent ones.
+    /// The queueing time after which a request is served before more urgent ones.
     #[serde_as(as = "Option<DisplayFromStr>")]
     pub patience: Option<humantime::Duration>,
 }
--- a/crates/core/src/config/comma_list.rs
+++ b/crates/core/src/config/comma_list.rs
@@ -1,4 +1,4 @@
-//! How lists are written: items between commas, with any space around them.
+//! The text form of lists: items separated by commas, with optional space around them.
 
 use std::{
     fmt::{Display, Write},
@@ -8,15 +8,15 @@
 use serde::{Deserialize, Deserializer, Serializer, de::Error};
 use serde_with::{DeserializeAs, SerializeAs};
 
-/// A `CommaList` writes a list as its items between commas.
+/// A `CommaList` writes a list as items separated by commas.
 pub struct CommaList;
 
 impl<T: Display> SerializeAs<Vec<T>> for CommaList {
     fn serialize_as<S: Serializer>(items: &Vec<T>, serializer: S) -> Result<S::Ok, S::Error> {
         let mut text = String::new();
-        for (at, item) in items.iter().enumerate() {
-            let separator = if at == 0 { "" } else { ", " };
-            // Writing to a text cannot fail.
+        for (index, item) in items.iter().enumerate() {
+            let separator = if index == 0 { "" } else { ", " };
+            // Writing to a string cannot fail.
             let _ = write!(text, "{separator}{item}");
         }
         serializer.serialize_str(&text)
--- a/crates/core/src/config/deployment.rs
+++ b/crates/core/src/config/deployment.rs
@@ -21,7 +21,7 @@
 pub struct Deployment {
     /// The services, by name.
     pub services: BTreeMap<ServiceName, ServiceConfig>,
-    /// The sizing of engines, by the service that they belong to.
+    /// The number and capacity of engines, by service.
     pub engines: BTreeMap<ServiceName, EnginesConfig>,
     /// The models, by name.
     pub models: BTreeMap<ModelName, ModelConfig>,
@@ -41,6 +41,6 @@
     pub zones: BTreeMap<ZoneName, ZoneConfig>,
     /// The classes of VMs, by name.
     pub vm_classes: BTreeMap<VmClassName, VmClassConfig>,
-    /// What weighs how much in decisions.
+    /// The weights of the terms in scheduling decisions.
     pub weights: Weights,
 }
--- a/crates/core/src/config/engines.rs
+++ b/crates/core/src/config/engines.rs
@@ -1,28 +1,28 @@
-//! How many engines a service has and what each takes on.
+//! The number of engines of a service and their capacity.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
 
 use crate::{config::CommaList, name::VmClassName};
 
-/// An `EnginesConfig` tells how many engines a service has and what each takes on.
+/// An `EnginesConfig` describes the number of engines of a service and their capacity.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EnginesConfig {
-    /// The fewest engines.
+    /// The minimum number of engines.
     #[serde_as(as = "DisplayFromStr")]
     pub least: u32,
-    /// The most engines.
+    /// The maximum number of engines.
     #[serde_as(as = "DisplayFromStr")]
     pub most: u32,
-    /// The answers that run at once on one engine.
+    /// The number of responses that one engine generates concurrently.
     #[serde_as(as = "DisplayFromStr")]
     pub answers: u32,
-    /// The availability zones that may be lost at once with enough engines left.
+    /// The number of availability zones that may fail at once with enough engines left.
     #[serde_as(as = "DisplayFromStr")]
     pub spare_zones: u32,
-    /// The classes of VMs that engines may run on, best first; none means any.
+    /// The VM classes that engines may run on, in order of preference; empty means any.
     #[serde_as(as = "CommaList")]
     pub vm_classes: Vec<VmClassName>,
 }
--- a/crates/core/src/config/fields.rs
+++ b/crates/core/src/config/fields.rs
@@ -1,4 +1,4 @@
-//! Which keys a settings type takes, as its serde implementation tells them.
+//! The keys of a settings type, obtained from its serde implementation.
 
 use serde::{
     Deserializer,
@@ -10,10 +10,10 @@
     found: &'a mut &'static [&'static str],
 }
 
-/// Returns the keys that a settings type takes.
+/// Returns the keys of a settings type.
 pub fn fields_of<T: DeserializeOwned>() -> &'static [&'static str] {
     let mut found: &'static [&'static str] = &[];
-    // The probe always ends in an error, after the type has told its fields.
+    // The probe always returns an error, after the type has passed its fields to it.
     let _ = T::deserialize(Probe { found: &mut found });
     found
 }
--- a/crates/core/src/config/ini.rs
+++ b/crates/core/src/config/ini.rs
@@ -1,4 +1,4 @@
-//! Reading of INI text into sections and typed settings, with line numbers for errors.
+//! Parsing of INI text into sections and typed settings, with line numbers for error messages.
 
 use std::collections::{BTreeMap, BTreeSet, btree_map::Entry};
 
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::{
-    config::{Deployment, Problem, Section, check, nearest},
+    config::{Deployment, Problem, Section, check, closest_match},
     errors::{CoreError, Result},
     name::{Name, NameKind},
 };
@@ -19,9 +19,9 @@
 
 type Problems = Vec<Problem>;
 
-/// Returns the sections of an INI text with what is wrong in its form.
+/// Returns the sections of an INI text and its syntax problems.
 ///
-/// A line that can't be read is left out, so that the rest can still be checked.
+/// A line that can't be parsed is skipped, so that the rest is still checked.
 pub fn read_sections(file: &str, text: &str) -> (Vec<Section>, Problems) {
     let mut problems = Vec::new();
     let mut sections = vec![Section::default()];
@@ -31,7 +31,7 @@
         let line = usize::try_from(parser.line()).unwrap_or(usize::MAX).saturating_add(1);
         let Some(item) = parser.next() else { break };
         match item {
-            Item::Section(header) => sections.push(Section::open(header, line)),
+            Item::Section(header) => sections.push(Section::new(header, line)),
             Item::Property(key, value) => {
                 let Some(section) = sections.last_mut() else { continue };
                 let value = value.unwrap_or_default().to_owned();
@@ -62,21 +62,21 @@
     if problems.is_empty() { Ok(sections) } else { Err(problems) }
 }
 
-/// Returns a problem for each section whose kind is not among the known ones or stands twice.
+/// Returns a problem for each section that is duplicate or not of a known kind.
 pub fn unknown_sections(file: &str, sections: &[Section], known: &[&str]) -> Problems {
     let mut problems = Vec::new();
     let mut seen = BTreeMap::new();
     for section in sections {
         if section.kind.is_empty() {
             let Some((key, (_, line))) = section.values.first_key_value() else { continue };
-            let message = format!("{key} stands before the first section");
+            let message = format!("{key} is set before the first section");
             problems.push(Problem::new(file, *line, message).hint("move it below a [section]"));
             continue;
         }
         if !known.contains(&section.kind.as_str()) {
             let message = format!("unknown section {}", section.header());
-            let hint = match nearest(&section.kind, known.iter().copied()) {
-                Some(near) => format!("did you mean [{near}]?"),
+            let hint = match closest_match(&section.kind, known.iter().copied()) {
+                Some(suggestion) => format!("did you mean [{suggestion}]?"),
                 None => format!("known sections are {}", known.join(", ")),
             };
             problems.push(Problem::new(file, section.line, message).hint(hint));
@@ -90,9 +90,9 @@
     problems
 }
 
-/// Returns the deployment that an INI text describes, checked as a whole.
+/// Returns the deployment that an INI text describes, after validation of the whole.
 ///
-/// The error holds every problem, in the order of their lines.
+/// The error holds all problems, ordered by line.
 pub fn parse_deployment(file: &str, text: &str) -> Result<Deployment> {
     let (sections, mut problems) = read_sections(file, text);
     let mut deployment = Deployment::default();
@@ -102,7 +102,7 @@
             problems.extend(found);
         }
     }
-    // A value that was left out as malformed must not be reported again as missing.
+    // A value that was skipped as malformed must not be reported again as missing.
     let reported: BTreeSet<usize> = problems.iter().map(|problem| problem.line).collect();
     let mut checked = check(file, &sections, &deployment);
     checked.retain(|problem| !reported.contains(&problem.line));
@@ -139,8 +139,7 @@
     }
 }
 
-// A section with a problem in it still counts as there: otherwise each reference to it would be
-// reported too.
+// A section with problems is inserted too: otherwise each reference to it would be reported as well.
 fn insert<K: NameKind, T: DeserializeOwned + Default>(
     file: &str,
     section: &Section,
@@ -150,7 +149,7 @@
         let hint = format!("write [{} NAME]", section.kind);
         vec![Problem::new(file, section.line, error.to_string()).hint(hint)]
     })?;
-    let (settings, problems) = section.read_well_formed(file);
+    let (settings, problems) = section.read_lenient(file);
     into.entry(name).or_insert_with(|| settings.unwrap_or_default());
     if problems.is_empty() { Ok(()) } else { Err(problems) }
 }
--- a/crates/core/src/config/key_hash.rs
+++ b/crates/core/src/config/key_hash.rs
@@ -1,4 +1,4 @@
-//! The hash under which a caller's key is kept.
+//! Hashes of callers' keys.
 
 use std::{fmt, str::FromStr};
 
@@ -8,12 +8,12 @@
 
 use crate::errors::{CoreError, Result};
 
-/// What a well-formed hash looks like.
+/// The form of a hash, for error messages.
 const EXPECTED: &str = "64 hexadecimal digits (printf %s KEY | sha256sum)";
 /// The length of a SHA-256 hash, in bytes.
 const LENGTH: usize = 32;
 
-/// A `KeyHash` is the SHA-256 hash of a key; the key itself is kept nowhere.
+/// A `KeyHash` is the SHA-256 hash of a key; the key itself is not stored.
 #[derive(Clone, PartialEq, Eq, SerializeDisplay, DeserializeFromStr)]
 pub struct KeyHash([u8; LENGTH]);
 
@@ -23,10 +23,10 @@
         KeyHash(Sha256::digest(key.as_ref()).into())
     }
 
-    /// Returns whether both are hashes of one key.
+    /// Returns whether both are hashes of the same key.
     ///
-    /// A comparison that ends at the first different byte takes longer the more bytes fit, from
-    /// which a caller could learn the hash; this one takes equally long for all.
+    /// The comparison takes constant time. One that stops index the first differing byte takes longer
+    /// the more bytes match, so that a caller could learn the hash from response times.
     pub fn matches(&self, other: &KeyHash) -> bool {
         self.0.ct_eq(&other.0).into()
     }
@@ -56,8 +56,8 @@
             return Err(malformed());
         }
         let mut hash = [0; LENGTH];
-        for (at, byte) in hash.iter_mut().enumerate() {
-            let digits = text.get(2 * at..2 * at + 2).ok_or_else(malformed)?;
+        for (index, byte) in hash.iter_mut().enumerate() {
+            let digits = text.get(2 * index..2 * index + 2).ok_or_else(malformed)?;
             *byte = u8::from_str_radix(digits, 16).map_err(|_| malformed())?;
         }
         Ok(KeyHash(hash))
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,8 +1,9 @@
-//! The configuration model: what operators write and what nodes act on.
+//! The configuration model: parsing, validation, rendering and the typed settings.
 
 mod backend_address;
 mod check;
 mod class;
+mod closest_match;
 mod comma_list;
 mod deployment;
 mod engines;
@@ -11,7 +12,6 @@
 mod ini;
 mod key_hash;
 mod model;
-mod nearest;
 mod price;
 mod problem;
 mod rate;
@@ -27,6 +27,7 @@
 pub use backend_address::{BackendAddress, BackendAddressError};
 pub use check::check;
 pub use class::ClassConfig;
+pub use closest_match::closest_match;
 pub use comma_list::CommaList;
 pub use deployment::Deployment;
 pub use engines::EnginesConfig;
@@ -35,7 +36,6 @@
 pub use ini::{SECTION_KINDS, parse_deployment, parse_sections, read_sections, unknown_sections};
 pub use key_hash::KeyHash;
 pub use model::{AdapterConfig, ModelConfig, RolloutConfig, VersionConfig};
-pub use nearest::nearest;
 pub use price::HourlyPrice;
 pub use problem::Problem;
 pub use rate::Rate;
--- a/crates/core/src/config/model.rs
+++ b/crates/core/src/config/model.rs
@@ -1,4 +1,4 @@
-//! The models, their versions and adapters, and how a version comes into use.
+//! Models, their versions and adapters, and rollouts of versions.
 
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
     /// The service whose engines run the model.
     #[serde_as(as = "DisplayFromStr")]
     pub service: ServiceName,
-    /// The version that callers get.
+    /// The version that serves callers.
     pub version: String,
-    /// The most tokens that one answer may have.
+    /// The maximum number of tokens of a response.
     #[serde_as(as = "DisplayFromStr")]
     pub max_tokens: u32,
 }
@@ -34,14 +34,14 @@
     /// The model.
     #[serde_as(as = "DisplayFromStr")]
     pub model: ModelName,
-    /// The key of its weights in the weight store.
+    /// The key of the weights in the weight store.
     pub weights: String,
-    /// The size of its weights.
+    /// The size of the weights.
     #[serde_as(as = "ExactSize")]
     pub size: ByteSize,
 }
 
-/// An `AdapterConfig` describes one adapter that is loaded beside a model.
+/// An `AdapterConfig` describes one adapter that engines load in addition to a model.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -49,14 +49,14 @@
     /// The model.
     #[serde_as(as = "DisplayFromStr")]
     pub model: ModelName,
-    /// The key of its weights in the weight store.
+    /// The key of the weights in the weight store.
     pub weights: String,
-    /// The size of its weights.
+    /// The size of the weights.
     #[serde_as(as = "ExactSize")]
     pub size: ByteSize,
 }
 
-/// A `RolloutConfig` tells how a version comes into use.
+/// A `RolloutConfig` describes how a version is rolled out.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -64,10 +64,10 @@
     /// The model.
     #[serde_as(as = "DisplayFromStr")]
     pub model: ModelName,
-    /// The version that comes into use.
+    /// The version that is rolled out.
     #[serde_as(as = "DisplayFromStr")]
     pub version: VersionName,
-    /// The engines that change at once.
+    /// The number of engines that change in one step.
     #[serde_as(as = "DisplayFromStr")]
     pub step: u32,
     /// The time between two steps.
--- a/crates/core/src/config/price.rs
+++ b/crates/core/src/config/price.rs
@@ -1,4 +1,4 @@
-//! What a VM costs for an hour.
+//! Hourly prices of VMs.
 
 use std::{fmt, str::FromStr};
 
@@ -6,10 +6,10 @@
 
 use crate::errors::{CoreError, Result};
 
-/// What a well-formed price looks like.
+/// The form of a price, for error messages.
 const EXPECTED: &str = "a price such as 0.35/h, with at most three decimals";
 
-/// An `HourlyPrice` is what a VM costs for an hour, in thousandths of the currency unit.
+/// An `HourlyPrice` is the price of a VM per hour, in thousandths of the currency unit.
 #[derive(
     Clone,
     Copy,
--- a/crates/core/src/config/problem.rs
+++ b/crates/core/src/config/problem.rs
@@ -1,19 +1,19 @@
-//! One thing that is wrong in a configuration or settings text.
+//! Problems found in a configuration or settings text.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// A `Problem` says what is wrong in a text, where, and what would mend it.
+/// A `Problem` is an error in a text, with its location and a hint for its correction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// The name of the text, mostly a file's path.
+    /// The name of the text, usually the path of a file.
     pub file: String,
     /// The line, counted from 1.
     pub line: usize,
-    /// What is wrong.
+    /// The description of the error.
     pub message: String,
-    /// What the operator may write in its place, where that can be told.
+    /// The suggested correction, if there is one.
     pub hint: Option<String>,
 }
 
--- a/crates/core/src/config/rate.rs
+++ b/crates/core/src/config/rate.rs
@@ -1,4 +1,4 @@
-//! How often something may happen.
+//! Rate limits.
 
 use std::{fmt, str::FromStr};
 
@@ -6,12 +6,12 @@
 
 use crate::errors::{CoreError, Result};
 
-/// What a well-formed rate looks like.
+/// The form of a rate, for error messages.
 const EXPECTED: &str = "a rate such as 50/s or 20/min";
-/// The seconds of a minute.
-const MINUTE: u32 = 60;
+/// The number of seconds in a minute.
+const SECONDS_PER_MINUTE: u32 = 60;
 
-/// A `Rate` tells how often something may happen, counted per minute.
+/// A `Rate` is the number of events that are allowed per minute.
 #[derive(
     Clone,
     Copy,
@@ -25,21 +25,21 @@
     DeserializeFromStr,
 )]
 pub struct Rate {
-    /// How often in a minute.
+    /// The number of events per minute.
     pub per_minute: u32,
 }
 
 impl Rate {
-    /// Returns how often in a second.
+    /// Returns the number of events per second.
     pub fn per_second(self) -> f64 {
-        f64::from(self.per_minute) / f64::from(MINUTE)
+        f64::from(self.per_minute) / f64::from(SECONDS_PER_MINUTE)
     }
 }
 
 impl fmt::Display for Rate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.per_minute.is_multiple_of(MINUTE) {
-            return write!(f, "{}/s", self.per_minute / MINUTE);
+        if self.per_minute.is_multiple_of(SECONDS_PER_MINUTE) {
+            return write!(f, "{}/s", self.per_minute / SECONDS_PER_MINUTE);
         }
         write!(f, "{}/min", self.per_minute)
     }
@@ -52,12 +52,12 @@
         let malformed = || CoreError::value(EXPECTED, text);
         let (count, unit) = text.split_once('/').ok_or_else(malformed)?;
         let count: u32 = count.trim().parse().map_err(|_| malformed())?;
-        let times = match unit.trim() {
-            "s" => MINUTE,
+        let units_per_minute = match unit.trim() {
+            "s" => SECONDS_PER_MINUTE,
             "min" => 1,
             _ => return Err(malformed()),
         };
-        let per_minute = count.checked_mul(times).ok_or_else(malformed)?;
+        let per_minute = count.checked_mul(units_per_minute).ok_or_else(malformed)?;
         Ok(Rate { per_minute })
     }
 }
--- a/crates/core/src/config/render.rs
+++ b/crates/core/src/config/render.rs
@@ -1,4 +1,4 @@
-//! Writing of a deployment as INI text.
+//! Rendering of a deployment as INI text.
 
 use std::{collections::BTreeMap, fmt::Write};
 
@@ -7,9 +7,9 @@
 
 use crate::{config::Deployment, name::Name};
 
-/// Returns the INI text of a deployment; values that are the default are left out.
+/// Returns the INI text of a deployment, without the values that are the default.
 ///
-/// Reading the text gives the same deployment.
+/// Parsing the text gives the same deployment.
 pub fn render(deployment: &Deployment) -> String {
     let mut text = String::new();
     write_all(&mut text, "zone", &deployment.zones);
@@ -27,7 +27,7 @@
     text
 }
 
-/// Returns the keys of a settings type with the texts of its values; an unset key has none.
+/// Returns the keys of a settings type with the texts of their values; an unset key has `None`.
 pub fn pairs_of(settings: &impl Serialize) -> Vec<(String, Option<String>)> {
     let value = serde_json::to_value(settings).unwrap_or(Value::Null);
     let Value::Object(fields) = value else { return Vec::new() };
@@ -55,7 +55,7 @@
 
 fn write_section<T: Serialize + Default>(text: &mut String, header: &str, settings: &T) {
     let defaults = pairs_of(&T::default());
-    // Writing to a text cannot fail.
+    // Writing to a string cannot fail.
     let _ = writeln!(text, "[{header}]");
     for (pair, default) in pairs_of(settings).iter().zip(&defaults) {
         if pair == default {
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -7,28 +7,28 @@
 
 use crate::{config::CommaList, name::ServiceName};
 
-/// A `RouteKind` tells what may be done again with a request of a route.
+/// A `RouteKind` determines whether the requests of a route may be retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteKind {
-    /// Running it again changes nothing.
+    /// Running a request again changes nothing.
     Idempotent,
-    /// It may run at most once.
+    /// A request may run offset most once.
     #[default]
     AtMostOnce,
-    /// Its answer is a stream of events, and it may run at most once.
+    /// The response is a stream of events, and a request may run offset most once.
     Stream,
-    /// Its answer is a stream of events that may be resumed after the last one that arrived.
+    /// The response is a stream of events that can be resumed after the last received one.
     ResumableStream,
 }
 
-/// A `ServiceShare` is the part of a route's requests that one service gets, written
+/// A `ServiceShare` is the share of a route's requests that one service receives, written
 /// `service@weight`.
 #[derive(Clone, Debug, PartialEq, Eq, SerializeDisplay, DeserializeFromStr)]
 pub struct ServiceShare {
     /// The service.
     pub service: ServiceName,
-    /// Its weight among the shares of the route.
+    /// The weight in relation to the other shares of the route.
     pub weight: u32,
 }
 
@@ -43,28 +43,28 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RouteConfig {
-    /// The host that callers name, in lower case.
+    /// The host of the requests, in lower case.
     pub host: String,
-    /// What the path begins with; the longest prefix that fits takes a request.
+    /// The prefix of the path; a request takes the route with the longest matching prefix.
     pub prefix: String,
-    /// The services among which its requests are split, as `service@weight`.
+    /// The services among which the requests are split, as `service@weight`.
     #[serde_as(as = "CommaList")]
     pub services: Vec<ServiceShare>,
-    /// What may be done again.
+    /// Whether requests may be retried.
     pub kind: RouteKind,
-    /// The most backend servers to which one request is sent.
+    /// The maximum number of backend servers to which one request is sent.
     #[serde_as(as = "DisplayFromStr")]
     pub attempts: u32,
-    /// The longest time until the end of the answer.
+    /// The time limit for the complete response.
     #[serde_as(as = "DisplayFromStr")]
     pub timeout: humantime::Duration,
-    /// The time until the answer, or its first event, for which it counts as in time.
+    /// The longest time to the response, or to its first event, that counts as on time.
     #[serde_as(as = "DisplayFromStr")]
     pub target_latency: humantime::Duration,
-    /// The longest pause between events of an answer in time.
+    /// The longest time between two events of a response that counts as on time.
     #[serde_as(as = "Option<DisplayFromStr>")]
     pub target_gap: Option<humantime::Duration>,
-    /// The rank; 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     #[serde_as(as = "DisplayFromStr")]
     pub priority: u8,
     /// Whether callers need no key.
@@ -73,28 +73,28 @@
 }
 
 impl RouteKind {
-    /// Returns whether a request may be sent again although it may have run.
+    /// Returns whether a request may be retried although it may have run.
     pub fn may_run_again(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
 }
 
 impl RouteConfig {
-    /// Returns the service for a request, drawn by weight from a hash of its id.
+    /// Returns the service for a request, selected by weight from a hash of the request's id.
     pub fn service(&self, hash: u64) -> Option<&ServiceName> {
         let total: u64 = self.services.iter().map(|share| u64::from(share.weight)).sum();
-        let mut at = hash % total.max(1);
+        let mut offset = hash % total.max(1);
         for share in &self.services {
             let weight = u64::from(share.weight);
-            if at < weight {
+            if offset < weight {
                 return Some(&share.service);
             }
-            at -= weight;
+            offset -= weight;
         }
         None
     }
--- a/crates/core/src/config/section.rs
+++ b/crates/core/src/config/section.rs
@@ -1,4 +1,4 @@
-//! One section of an INI text and the settings in it.
+//! A section of an INI text and the settings in it.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
     value::{Error as ValueError, MapDeserializer},
 };
 
-use crate::config::{Problem, fields_of, nearest, value::IniValue};
+use crate::config::{Problem, closest_match, fields_of, value::IniValue};
 
 /// A `Section` is one section of an INI text.
 #[derive(Clone, Debug, Default)]
@@ -23,8 +23,8 @@
 }
 
 impl Section {
-    /// Returns an empty section with the header in `line`.
-    pub fn open(header: &str, line: usize) -> Section {
+    /// Returns an empty section whose header is in `line`.
+    pub fn new(header: &str, line: usize) -> Section {
         let header = header.trim();
         let (kind, name) = header.split_once(char::is_whitespace).unwrap_or((header, ""));
         let name = name.trim().to_owned();
@@ -36,30 +36,30 @@
         self.values.get(key).map_or(self.line, |(_, line)| *line)
     }
 
-    /// Returns the header as it is written.
+    /// Returns the header as it appears in the text.
     pub fn header(&self) -> String {
         format!("[{} {}]", self.kind, self.name).replace(" ]", "]")
     }
 
-    /// Returns the settings in the section, or everything that is wrong in it.
+    /// Returns the settings in the section, or all problems found in it.
     pub fn read<T: DeserializeOwned>(&self, file: &str) -> Result<T, Vec<Problem>> {
-        let (settings, problems) = self.read_well_formed(file);
+        let (settings, problems) = self.read_lenient(file);
         settings.filter(|_| problems.is_empty()).ok_or(problems)
     }
 
-    /// Returns what the well-formed values say, and everything that is wrong in the section.
+    /// Returns the settings from all well-formed values, and all problems found in the section.
     ///
-    /// Each key is tried by itself first: serde stops at the first error, and an operator who is
-    /// told of one mistake a run would run the check many times.
-    pub fn read_well_formed<T: DeserializeOwned>(&self, file: &str) -> (Option<T>, Vec<Problem>) {
+    /// Each key is first deserialized alone: serde stops at the first error, and an operator who
+    /// sees one mistake per run would have to repeat the check many times.
+    pub fn read_lenient<T: DeserializeOwned>(&self, file: &str) -> (Option<T>, Vec<Problem>) {
         let fields = fields_of::<T>();
         let mut pairs = Vec::new();
         let mut problems = Vec::new();
         for (key, (value, line)) in &self.values {
             if !fields.contains(&key.as_str()) {
                 let message = format!("unknown key {key} in {}", self.header());
-                let hint = match nearest(key, fields.iter().copied()) {
-                    Some(near) => format!("did you mean {near}?"),
+                let hint = match closest_match(key, fields.iter().copied()) {
+                    Some(suggestion) => format!("did you mean {suggestion}?"),
                     None => format!("known keys are {}", fields.join(", ")),
                 };
                 problems.push(Problem::new(file, *line, message).hint(hint));
@@ -83,8 +83,8 @@
     }
 }
 
-/// Returns the settings of the only section of a kind, or the defaults where there is none; adds what is
-/// wrong in it to `problems`.
+/// Returns the settings of the only section of a kind, or the defaults if there is none; appends the
+/// problems found in it to `problems`.
 pub fn read_single_section<T: DeserializeOwned + Default>(
     file: &str,
     sections: &[Section],
@@ -94,7 +94,7 @@
     let Some(section) = sections.iter().find(|section| section.kind == kind) else {
         return T::default();
     };
-    let (settings, found) = section.read_well_formed(file);
+    let (settings, found) = section.read_lenient(file);
     problems.extend(found);
     settings.unwrap_or_default()
 }
@@ -107,8 +107,8 @@
 }
 
 fn with_unit_hint(problem: Problem, key: &str, value: &str) -> Problem {
-    let bare = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-    if bare && problem.message.contains("time unit") {
+    let has_no_unit = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
+    if has_no_unit && problem.message.contains("time unit") {
         return problem.hint(format!("write the unit, such as {key} = {value}s"));
     }
     problem
--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -1,4 +1,4 @@
-//! The services and the engines behind those that run models.
+//! Services and the types of their backend servers.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 
 use crate::config::{BackendAddress, CommaList};
 
-/// The methods whose calls are idempotent unless a service says otherwise.
+/// The methods whose calls are idempotent by default.
 const IDEMPOTENT_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 
-/// A `ServiceType` tells what kind of backend servers a service has.
+/// A `ServiceType` is the kind of backend servers that a service has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServiceType {
     /// Model engines.
     #[default]
     Model,
-    /// Plain services, whose calls are passed through.
+    /// Plain services, to which calls are forwarded.
     Plain,
 }
 
-/// A `Fencing` tells whether backend servers compare fencing numbers.
+/// A `Fencing` states whether backend servers check fencing numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Fencing {
-    /// Backend servers take every order, whatever its fencing number.
+    /// Backend servers accept every order, regardless of its fencing number.
     #[default]
     Ignored,
-    /// Backend servers refuse an order with an old fencing number.
+    /// Backend servers reject an order with an outdated fencing number.
     Checked,
 }
 
@@ -37,21 +37,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceConfig {
-    /// What kind of backend servers the service has.
+    /// The kind of backend servers that the service has.
     #[serde(rename = "type")]
     pub service_type: ServiceType,
     /// Backend servers with fixed addresses, as `vm@zone@address`.
     #[serde_as(as = "CommaList")]
     pub backends: Vec<BackendAddress>,
-    /// Paths whose calls may run at most once, for plain services.
+    /// Prefixes of paths whose calls may run at most once, for plain services.
     #[serde_as(as = "CommaList")]
     pub non_repeatable: Vec<String>,
-    /// Methods whose calls may be repeated on all other paths.
+    /// Methods whose calls may be retried on all other paths.
     #[serde_as(as = "CommaList")]
     pub idempotent_methods: Vec<String>,
-    /// Whether the backend servers compare fencing numbers.
+    /// Whether the backend servers check fencing numbers.
     pub fencing: Fencing,
-    /// How long a call of a plain service may take.
+    /// The time limit for a call to a plain service.
     #[serde_as(as = "DisplayFromStr")]
     pub timeout: humantime::Duration,
 }
--- a/crates/core/src/config/team.rs
+++ b/crates/core/src/config/team.rs
@@ -1,4 +1,4 @@
-//! The teams of callers.
+//! Teams of callers.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
@@ -10,19 +10,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TeamConfig {
-    /// The team's share of capacity in relation to the other teams' shares.
+    /// The team's share of capacity, relative to the shares of the other teams.
     #[serde_as(as = "DisplayFromStr")]
     pub share: u32,
-    /// The SHA-256 hash of the team's key, in hexadecimal; none means that no key is asked for.
+    /// The SHA-256 hash of the team's key, in hexadecimal; without one, no key is required.
     pub key_hash: Option<KeyHash>,
-    /// The hash of a second key that is taken too, for the time in which a key is changed.
+    /// The hash of a second accepted key, for use while a key is rotated.
     pub other_key_hash: Option<KeyHash>,
-    /// The most model requests that run or wait at once, over all nodes.
+    /// The maximum number of model requests that run or wait at once, over all nodes.
     #[serde_as(as = "Option<DisplayFromStr>")]
     pub at_once: Option<u32>,
-    /// The most model requests over time, over all nodes.
+    /// The maximum rate of model requests, over all nodes.
     pub requests: Option<Rate>,
-    /// The most tokens over time, prompts and longest answers together, over all nodes.
+    /// The maximum rate of tokens, prompts and longest responses together, over all nodes.
     pub tokens: Option<Rate>,
 }
 
@@ -34,9 +34,9 @@
 
     /// Returns whether a key with this hash is one of the team's keys.
     pub fn accepts(&self, key: &KeyHash) -> bool {
-        // Both comparisons are made in any case, so that their time does not tell which one fits.
-        let first = self.key_hash.as_ref().is_some_and(|own| own.matches(key));
-        let second = self.other_key_hash.as_ref().is_some_and(|own| own.matches(key));
+        // Both comparisons always run, so that their time does not reveal which key matches.
+        let first = self.key_hash.as_ref().is_some_and(|hash| hash.matches(key));
+        let second = self.other_key_hash.as_ref().is_some_and(|hash| hash.matches(key));
         first | second
     }
 }
--- a/crates/core/src/config/value.rs
+++ b/crates/core/src/config/value.rs
@@ -1,4 +1,4 @@
-//! One value of an INI text, as serde reads it.
+//! The serde deserializer for a value of an INI text.
 
 use serde::{
     de::{
@@ -8,7 +8,7 @@
     forward_to_deserialize_any,
 };
 
-/// An `IniValue` is the text behind a key; a key that stands there is `Some` to an option.
+/// An `IniValue` deserializes the text of one key; an option is `Some` if the key is present.
 #[derive(Clone, Copy, Debug)]
 pub struct IniValue<'a>(pub &'a str);
 
--- a/crates/core/src/config/weights.rs
+++ b/crates/core/src/config/weights.rs
@@ -1,9 +1,9 @@
-//! What weighs how much in decisions.
+//! Weights of the terms in scheduling decisions.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
 
-/// `Weights` tell how much each measure counts in decisions.
+/// `Weights` set how much each term counts in scheduling decisions.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
--- a/crates/core/src/config/zone.rs
+++ b/crates/core/src/config/zone.rs
@@ -1,4 +1,4 @@
-//! The availability zones and the classes of VMs in them.
+//! Availability zones and the classes of VMs in them.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
@@ -21,15 +21,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct VmClassConfig {
-    /// The availability zones that have it; none means all.
+    /// The availability zones that offer the class; empty means all.
     #[serde_as(as = "CommaList")]
     pub zones: Vec<ZoneName>,
-    /// The accelerators of one VM.
+    /// The number of accelerators of one VM.
     #[serde_as(as = "DisplayFromStr")]
     pub accelerators: u32,
-    /// The highest price at which a reclaimable VM is bought; none means that none is bought.
+    /// The maximum price of reclaimable VMs; without one, none are bought.
     pub reclaimable_price: Option<HourlyPrice>,
-    /// The highest price at which an on-demand VM is bought; none means that none is bought.
+    /// The maximum price of on-demand VMs; without one, none are bought.
     pub on_demand_price: Option<HourlyPrice>,
 }
 
--- a/crates/core/src/entries.rs
+++ b/crates/core/src/entries.rs
@@ -1,4 +1,4 @@
-//! The answer to a caller that asks which addresses to use.
+//! The list of entry points that callers receive.
 
 use std::net::SocketAddr;
 
@@ -9,28 +9,28 @@
     name::{NodeName, ZoneName},
 };
 
-/// An `EntryList` tells a caller which addresses to use, best first, and for how long.
+/// An `EntryList` is the list of entry points for a caller, best first, with its time to live.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryList {
-    /// The addresses, in the order in which the caller should try them.
+    /// The entry points, in the order in which the caller should try them.
     pub entries: Vec<EntryPoint>,
-    /// How long the answer may be kept, in milliseconds.
+    /// The time for which the caller may cache the list, in milliseconds.
     pub time_to_live_ms: u64,
-    /// The configuration revision that the answering node has in force.
+    /// The configuration revision in force on the node that sends the list.
     pub revision: Revision,
 }
 
-/// An `EntryPoint` is one address that takes callers' requests.
+/// An `EntryPoint` is an address that accepts callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryPoint {
-    /// The node behind the address.
+    /// The node that listens on the address.
     pub node: NodeName,
     /// The availability zone of the node.
     pub zone: ZoneName,
     /// The address for callers.
     pub address: SocketAddr,
-    /// The life of the node's process; a ticket is bound to it.
+    /// The incarnation of the node; a ticket is bound to it.
     pub incarnation: Incarnation,
-    /// The ticket for non-repeatable calls sent to this life of the node.
+    /// The ticket for non-repeatable calls to this incarnation of the node.
     pub ticket: String,
 }
--- a/crates/core/src/errors.rs
+++ b/crates/core/src/errors.rs
@@ -5,34 +5,34 @@
 /// A `Result` whose error is a [`CoreError`].
 pub type Result<T> = result::Result<T, CoreError>;
 
-/// A `CoreError` tells which value was malformed and in what way.
+/// A `CoreError` is a malformed value or an invalid configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CoreError {
-    /// A name is empty, too long, or holds a byte that names may not hold.
+    /// A name is empty, too long or contains a byte that is not allowed in names.
     Name {
-        /// What was to be named.
+        /// The kind of thing that the name is for.
         kind: &'static str,
-        /// The text that was given.
+        /// The text, shortened.
         text: String,
     },
     /// A request id does not have the form `r-INCARNATION-SEQUENCE`.
     RequestId {
-        /// The text that was given.
+        /// The text, shortened.
         text: String,
     },
-    /// An event id of a stream does not have the form `REQUEST:NUMBER`.
+    /// The id of a stream event does not have the form `REQUEST:NUMBER`.
     StreamPosition {
-        /// The text that was given.
+        /// The text, shortened.
         text: String,
     },
-    /// A value is not of the form that its unit asks for.
+    /// A value does not have the form that its unit requires.
     Value {
-        /// What a well-formed value looks like.
+        /// The form of a value.
         expected: &'static str,
-        /// The text that was given.
+        /// The text, shortened.
         text: String,
     },
-    /// The configuration text is not well-formed or does not hold together.
+    /// The configuration text is malformed or inconsistent.
     Config(Vec<crate::config::Problem>),
 }
 
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,67 +1,67 @@
-//! The catalogue of numbered log events.
+//! The numbered log events.
 
-/// An `Event` is one kind of log line; its number never changes its meaning.
+/// An `Event` is one kind of log line; the meaning of its number never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Event {
     /// A node's process has started.
     NodeStarted,
-    /// A node has been told to stop and no longer takes new work.
+    /// A node is stopping and accepts no new work.
     NodeLeaving,
     /// A node's process has ended its work.
     NodeStopped,
     /// A connection was closed because of an error on it.
     ConnectionFailed,
-    /// The certificates were read anew and are used for new connections.
+    /// The certificates were reloaded and are used for new connections.
     CertificatesChanged,
-    /// The certificates could not be read anew; those in use stay.
+    /// The certificates could not be reloaded; those in use stay in use.
     CertificatesRejected,
-    /// The settings file has changed; the next start takes it.
+    /// The settings file has changed; the change takes effect at the next start.
     SettingsChanged,
-    /// The settings file has changed and cannot be used.
+    /// The settings file has changed and is invalid.
     SettingsRejected,
-    /// A configuration was read that cannot be used; the one in force stays.
+    /// A new configuration is invalid; the one in force stays in force.
     ConfigRejected,
-    /// A service of the platform does not answer; the node goes on with what it knows.
+    /// A service of the platform does not respond; the node continues with its last known state.
     DependencyLost,
-    /// A service of the platform answers again.
+    /// A service of the platform responds again.
     DependencyRegained,
     /// A caller's request was refused.
     RequestRefused,
-    /// An attempt of a request at an engine failed and the request goes on elsewhere.
+    /// An attempt of a request at an engine failed and the request continues elsewhere.
     AttemptFailed,
-    /// A request that this node owned is owned by another node now.
+    /// The ownership of a request has moved from this node to another one.
     RequestMoved,
-    /// A request that another node owned is owned by this node now.
+    /// The ownership of a request has moved from another node to this one.
     RequestTaken,
     /// A copy of a request could not be read.
     HandoffFailed,
-    /// A caller's request on a route has ended, whichever way.
+    /// A caller's request on a route has ended, with any outcome.
     CallEnded,
-    /// A send to a backend server ended without an answer that may be passed on.
+    /// An attempt at a backend server ended without a response that may be forwarded.
     SendFailed,
-    /// A request was not sent again, since the repeats of its service are used up.
+    /// A request was not retried, since the retry budget of its service is exhausted.
     RepeatRefused,
-    /// A stream goes on at another backend server after the last event that arrived.
+    /// A stream was resumed at another backend server after the last received event.
     StreamResumed,
     /// A newer configuration is in force on this node.
     ConfigInForce,
-    /// A backend server takes work.
+    /// A backend server accepts work.
     BackendReady,
-    /// A backend server is leaving and gets no new work.
+    /// A backend server is leaving and receives no new work.
     BackendLeaving,
-    /// A backend server is no longer known.
+    /// A backend server was removed.
     BackendGone,
-    /// A backend server fails so often that others are preferred.
+    /// A backend server failed so often that its circuit breaker opened; others are preferred.
     BackendDoubted,
     /// The record of a backend server cannot be read and is ignored.
     RecordIgnored,
-    /// Another node is known.
+    /// Another node was discovered, or its record has changed.
     MemberSeen,
-    /// Another node is no longer known.
+    /// Another node was removed.
     MemberLost,
-    /// The node's part in passing on news has changed.
+    /// The node's role in the distribution of gossip has changed.
     RoleChanged,
-    /// Another relay's news are taken in.
+    /// The node accepts the updates of another relay.
     SourceChanged,
     /// This node carries out the duties.
     DutiesGained,
@@ -69,19 +69,19 @@
     DutiesLost,
     /// A VM was bought.
     VmBought,
-    /// The purchase of a VM was refused; its place is left alone for a while.
+    /// The purchase of a VM was refused; no VM is bought in the same place for a while.
     PurchaseRefused,
-    /// A VM was given back.
+    /// A VM was released.
     VmReleased,
-    /// A VM that no plan of the fleet knows was released.
+    /// A VM that is in no plan of the fleet was released.
     OrphanReleased,
-    /// The plan of the fleet cannot be read; nothing is bought.
+    /// The plan of the fleet cannot be read; no VMs are bought.
     FleetPlanRejected,
     /// A number of backend servers was ordered.
     CountOrdered,
     /// The usage of a window was reported.
     UsageReported,
-    /// An order or report failed or was refused; it is tried again.
+    /// An order or report failed or was refused; it is retried.
     OrderFailed,
 }
 
@@ -130,7 +130,7 @@
         Event::OrderFailed,
     ];
 
-    /// Returns the number that the log line carries.
+    /// Returns the number in the log line.
     pub fn number(self) -> u16 {
         match self {
             Event::NodeStarted => 100,
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers that are numbers: incarnations, request ids, revisions and fencing numbers.
+//! Numeric identifiers: incarnations, request ids, revisions and fencing numbers.
 
 use std::{fmt, str::FromStr};
 
@@ -7,53 +7,53 @@
 
 use crate::errors::{CoreError, Result};
 
-/// An `Incarnation` is one life of a process; a later life of the same node has a higher one.
+/// An `Incarnation` identifies one run of a node's process; each restart has a higher one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// A `Revision` counts accepted configurations; it only rises.
+/// A `Revision` is the number of an accepted configuration; it only increases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision(pub u64);
 
-/// A `FencingNumber` is a fencing number: of two holders of one lease, the later has the higher.
+/// A `FencingNumber` orders the holders of a lease: a later holder has a higher number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct FencingNumber(pub u64);
 
-/// A `RequestId` names one accepted request, unique over all nodes and their lives.
+/// A `RequestId` identifies one accepted request, uniquely over all nodes and incarnations.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct RequestId {
-    /// The life of the node that accepted the request.
+    /// The incarnation of the node that accepted the request.
     pub origin: Incarnation,
-    /// The count of requests that this life had accepted before.
+    /// The number of requests that this incarnation had accepted before.
     pub sequence: u64,
 }
 
-/// A `StreamPosition` is the id of one event of an answer: the request and the event's number.
+/// A `StreamPosition` is the id of one event of a response: the request and the event's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamPosition {
-    /// The request whose answer it is.
+    /// The request that the response belongs to.
     pub request: RequestId,
-    /// The number of the event; the first has 0.
+    /// The number of the event, counted from 0.
     pub number: u64,
 }
 
 impl Revision {
-    /// Returns the revision that follows.
+    /// Returns the next revision.
     pub fn next(self) -> Revision {
         Revision(self.0 + 1)
     }
 }
 
 impl FencingNumber {
-    /// Returns the fencing number that follows.
+    /// Returns the next fencing number.
     pub fn next(self) -> FencingNumber {
         FencingNumber(self.0 + 1)
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,4 +1,4 @@
-//! Shared types: names, identifiers, units, the configuration model, errors and numbered events.
+//! Shared types: names, identifiers, time, the configuration model, errors and numbered log events.
 
 pub mod config;
 pub mod entries;
--- a/crates/core/src/name.rs
+++ b/crates/core/src/name.rs
@@ -1,4 +1,4 @@
-//! Names that operators give to things, one type for each kind.
+//! Names that operators assign, with one type for each kind of named thing.
 
 use std::{cmp::Ordering, fmt, hash::Hash, marker::PhantomData, sync::Arc};
 
@@ -6,21 +6,21 @@
 
 use crate::errors::{CoreError, Result};
 
-/// The longest name accepted, in bytes.
-pub const NAME_MAX: usize = 64;
+/// The maximum length of a name, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// A `Name` is a checked, cheaply cloned identifier of one kind of thing.
+/// A `Name` is a validated identifier of one kind of thing; cloning it is cheap.
 ///
-/// It holds 1 to [`NAME_MAX`] bytes out of `a-z A-Z 0-9 . _ -`, so it can stand in a path, a
-/// header, a key or a metric label without being escaped.
+/// It holds 1 to [`MAX_NAME_BYTES`] bytes out of `a-z A-Z 0-9 . _ -`, so it can be used in a
+/// path, header, key or metric label without escaping.
 pub struct Name<K> {
     text: Arc<str>,
     kind: PhantomData<fn() -> K>,
 }
 
-/// A `NameKind` tells what a [`Name`] names, for error messages.
+/// A `NameKind` is the kind of thing that a [`Name`] identifies.
 pub trait NameKind {
-    /// The word used in messages.
+    /// The word for the kind in error messages.
     const WORD: &'static str;
 }
 
@@ -59,9 +59,9 @@
 pub type ClassName = Name<ClassKind>;
 /// The name of an availability zone.
 pub type ZoneName = Name<ZoneKind>;
-/// The name of a node, stable over restarts of its process.
+/// The name of a node; it stays the same over restarts of the process.
 pub type NodeName = Name<NodeKind>;
-/// The name that the cloud gave to a VM; never used twice.
+/// The name of a VM, assigned by the cloud and never reused.
 pub type VmName = Name<VmKind>;
 /// The name of a version.
 pub type VersionName = Name<VersionKind>;
@@ -112,10 +112,10 @@
 }
 
 impl<K: NameKind> Name<K> {
-    /// Returns a checked name.
+    /// Returns the name `text`, if it is valid.
     pub fn new(text: impl AsRef<str>) -> Result<Name<K>> {
         let text = text.as_ref();
-        if text.is_empty() || NAME_MAX < text.len() {
+        if text.is_empty() || MAX_NAME_BYTES < text.len() {
             return Err(CoreError::name(K::WORD, text));
         }
         if !text.bytes().all(is_name_byte) {
--- a/crates/core/src/ran.rs
+++ b/crates/core/src/ran.rs
@@ -2,28 +2,28 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A `Ran` tells a caller whether a backend server may have run the request.
+/// A `Ran` states whether a backend server may have run a request.
 ///
-/// Values are ordered: over several attempts the greatest one holds.
+/// The values are ordered: the result of several attempts is their maximum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// Nothing was written to a backend server for it, and nothing will be.
+    /// Nothing of the request was written to a backend server, and nothing will be.
     #[default]
     No,
-    /// Some of it was written to a backend server; whether it ran cannot be told.
+    /// Some of the request was written to a backend server; whether it ran is unknown.
     Unknown,
-    /// A backend server answered that it ran.
+    /// A backend server responded that it ran the request.
     Yes,
 }
 
 impl Ran {
-    /// Returns what holds for both this attempt and one that ended as `other`.
+    /// Returns the result of this attempt and another one together.
     pub fn combine(self, other: Ran) -> Ran {
         self.max(other)
     }
 
-    /// Returns the word used on the wire.
+    /// Returns the name used on the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             Ran::No => "no",
--- a/crates/core/src/stamp.rs
+++ b/crates/core/src/stamp.rs
@@ -1,4 +1,4 @@
-//! Points in time of the state machines.
+//! Points in time for the state machines.
 
 use std::{
     ops::{Add, Sub},
@@ -7,22 +7,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A `Stamp` is a point in time in microseconds since an arbitrary start of one process.
+/// A `Stamp` is a point in time, in microseconds since an arbitrary origin in one process.
 ///
-/// State machines are given it from outside, so that a run can be replayed. Stamps of two
-/// processes can't be compared.
+/// State machines receive it from their caller, so that a run can be replayed. Stamps of
+/// different processes can't be compared.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp(pub u64);
 
 impl Stamp {
-    /// Returns the stamp that lies `millis` milliseconds after the start.
+    /// Returns the stamp `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Stamp {
         Stamp(millis * 1_000)
     }
 
-    /// Returns the time from `earlier` to this stamp, or zero where `earlier` is later.
+    /// Returns the time from `earlier` to this stamp, or zero if `earlier` is later.
     pub fn since(self, earlier: Stamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -31,8 +31,8 @@
 impl Add<Duration> for Stamp {
     type Output = Stamp;
 
-    fn add(self, span: Duration) -> Stamp {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Stamp {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Stamp(self.0.saturating_add(micros))
     }
 }
@@ -40,8 +40,8 @@
 impl Sub<Duration> for Stamp {
     type Output = Stamp;
 
-    fn sub(self, span: Duration) -> Stamp {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn sub(self, duration: Duration) -> Stamp {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Stamp(self.0.saturating_sub(micros))
     }
 }
--- a/crates/core/src/token.rs
+++ b/crates/core/src/token.rs
@@ -1,6 +1,6 @@
-//! Counting of tokens before an engine has told the exact figure.
+//! Estimates of the number of tokens, for use until an engine reports the exact number.
 
-/// The number of bytes of text that one token is taken to stand for.
+/// The assumed number of bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
 /// Returns the estimated number of tokens of a text of `bytes` bytes, at least one.
--- a/crates/core/tests/config_render.rs
+++ b/crates/core/tests/config_render.rs
@@ -1,4 +1,4 @@
-//! A deployment written as INI text and read again is the same deployment.
+//! A deployment is unchanged after it is rendered as INI text and parsed again.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     Name::new(text).expect("a valid name")
 }
 
-fn whole() -> Deployment {
+fn full_deployment() -> Deployment {
     let zone: ZoneName = name("suva-a");
     let mut deployment = Deployment::default();
     let cfg = ZoneConfig { region: "viti-central".to_owned() };
@@ -77,15 +77,15 @@
 
 #[test]
 fn round_trip() {
-    let deployment = whole();
+    let deployment = full_deployment();
     let text = render(&deployment);
-    let again = parse_deployment("rendered", &text).unwrap_or_else(|error| panic!("{error}"));
-    assert_eq!(again, deployment);
-    assert_eq!(render(&again), text);
+    let parsed = parse_deployment("rendered", &text).unwrap_or_else(|error| panic!("{error}"));
+    assert_eq!(parsed, deployment);
+    assert_eq!(render(&parsed), text);
 }
 
 #[test]
-fn defaults_left_out() {
+fn defaults_omitted() {
     let text = render(&Deployment::default());
     assert_eq!(text, "[weights]\n\n");
 }
--- a/crates/core/tests/config_routes.rs
+++ b/crates/core/tests/config_routes.rs
@@ -1,4 +1,4 @@
-//! Routes, as an operator writes them.
+//! Parsing and rendering of routes, and the split of their requests between services.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
 ";
 
 #[test]
-fn read_and_written() {
+fn round_trip() {
     let deployment = parse_deployment("guild.ini", TEXT).expect("a deployment");
     let route = &deployment.routes[&RouteName::new("surveys").expect("a name")];
     assert_eq!(route.kind, RouteKind::ResumableStream);
@@ -38,9 +38,9 @@
 fn split_by_weight() {
     let deployment = parse_deployment("guild.ini", TEXT).expect("a deployment");
     let route = &deployment.routes[&RouteName::new("surveys").expect("a name")];
-    let mut drawn: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     for hash in 0..1_000 {
-        *drawn.entry(route.service(hash).expect("a service").as_str()).or_default() += 1;
+        *counts.entry(route.service(hash).expect("a service").as_str()).or_default() += 1;
     }
-    assert_eq!(drawn, BTreeMap::from([("pattern-desk", 900), ("trial", 100)]));
+    assert_eq!(counts, BTreeMap::from([("pattern-desk", 900), ("trial", 100)]));
 }
--- a/crates/core/tests/event_page.rs
+++ b/crates/core/tests/event_page.rs
@@ -1,4 +1,4 @@
-//! The page of log events, the catalogue and the log lines say the same.
+//! The page of log events, the `Event` type and the log lines agree.
 
 use std::{
     collections::BTreeMap,
@@ -32,13 +32,13 @@
             meaning: (*meaning).to_owned(),
             action: (*action).to_owned(),
         };
-        assert!(rows.insert(number, row).is_none(), "{number} stands twice on the page");
+        assert!(rows.insert(number, row).is_none(), "{number} is on the page twice");
     }
     rows
 }
 
-// The variants with their comments, as the source has them: a variant that was left out of
-// `Event::ALL` would otherwise be missing on both sides without a sign.
+// The variants and their doc comments, parsed from the source: comparing only `Event::ALL` with the
+// page would miss a variant that is absent from both.
 fn variants() -> BTreeMap<String, String> {
     let source = fs::read_to_string(root().join("crates/core/src/event.rs")).expect("the source");
     let body = source.split("pub enum Event {").nth(1).expect("the enum");
@@ -58,33 +58,33 @@
     variants
 }
 
-fn sources(dir: &Path, into: &mut Vec<String>) {
+fn read_sources(dir: &Path, texts: &mut Vec<String>) {
     for entry in fs::read_dir(dir).expect("a directory") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, into);
+            read_sources(&path, texts);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            into.push(fs::read_to_string(&path).expect("a source file"));
+            texts.push(fs::read_to_string(&path).expect("a source file"));
         }
     }
 }
 
 #[test]
-fn page_and_catalogue() {
+fn page_and_variants() {
     let rows = rows();
     let variants = variants();
-    assert_eq!(Event::ALL.len(), variants.len(), "Event::ALL misses a variant");
+    assert_eq!(Event::ALL.len(), variants.len(), "a variant is missing in Event::ALL");
     for event in Event::ALL {
         let name = format!("{event:?}");
         let row = rows.get(&event.number());
         let row = row.unwrap_or_else(|| panic!("{name} is missing in docs/EVENTS.md"));
         assert_eq!(row.name, name);
         assert_eq!(row.meaning, variants[&name], "{name}");
-        assert!(!row.action.is_empty(), "{name}: nothing tells what to do");
+        assert!(!row.action.is_empty(), "{name}: no action for the operator");
     }
     for (number, row) in &rows {
         let known = Event::ALL.iter().any(|event| event.number() == *number);
-        assert!(known, "{number} {} stands on the page only", row.name);
+        assert!(known, "{number} {} is on the page only", row.name);
     }
 }
 
@@ -98,7 +98,7 @@
 fn levels() {
     let mut texts = Vec::new();
     for name in fs::read_dir(root().join("crates")).expect("the crates") {
-        sources(&name.expect("an entry").path().join("src"), &mut texts);
+        read_sources(&name.expect("an entry").path().join("src"), &mut texts);
     }
     let rows = rows();
     for event in Event::ALL {
@@ -114,6 +114,6 @@
                 lines += 1;
             }
         }
-        assert!(0 < lines, "no log line carries {event:?}");
+        assert!(0 < lines, "no log line has {event:?}");
     }
 }
