--- a/crates/external/src/clients/cloud.rs
+++ b/crates/external/src/clients/cloud.rs
@@ -9,13 +9,13 @@
     http::Endpoint,
 };
 
-/// An `HttpCloud` is the cloud API reached by HTTP.
+/// An `HttpCloud` is a client of the cloud API.
 pub struct HttpCloud {
     endpoint: Endpoint,
 }
 
 impl HttpCloud {
-    /// Returns the cloud API at `endpoint`.
+    /// Returns a client of the cloud API at `endpoint`.
     pub fn new(endpoint: Endpoint) -> HttpCloud {
         HttpCloud { endpoint }
     }
--- a/crates/external/src/clients/engine.rs
+++ b/crates/external/src/clients/engine.rs
@@ -18,21 +18,22 @@
     http::{Endpoint, read_limited},
 };
 
-/// The largest whole answer that is read, in bytes.
-const ANSWER_LIMIT: usize = 64 << 20;
-/// The longest time for the body of a whole answer.
+/// The maximum size of a response that is not streamed, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// The time limit for the body of a response that is not streamed.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An `HttpEngine` is a model engine reached by HTTP.
+/// An `HttpEngine` is a client of a model engine.
 pub struct HttpEngine {
     endpoint: Endpoint,
-    progress: Duration,
+    frame_timeout: Duration,
 }
 
 impl HttpEngine {
-    /// Returns the engine at `endpoint`, given up when no frame comes for `progress`.
-    pub fn new(endpoint: Endpoint, progress: Duration) -> HttpEngine {
-        HttpEngine { endpoint, progress }
+    /// Returns a client of the engine at `endpoint`; a stream fails if no frame arrives within
+    /// `frame_timeout`.
+    pub fn new(endpoint: Endpoint, frame_timeout: Duration) -> HttpEngine {
+        HttpEngine { endpoint, frame_timeout }
     }
 
     async fn post(
@@ -42,16 +43,16 @@
     ) -> Result<Response<Incoming>, CallError> {
         let req = Request::builder().method(Method::POST).uri(path).body(Full::new(body.into()));
         let req = req.map_err(|_| CallError::not_done(CallFault::Malformed))?;
-        let answer = self.endpoint.send(req).await?;
-        if answer.status() == StatusCode::OK {
-            return Ok(answer);
+        let response = self.endpoint.send(req).await?;
+        if response.status() == StatusCode::OK {
+            return Ok(response);
         }
-        // An engine that refuses has not run the request.
-        Err(CallError::not_done(CallFault::Refused { status: answer.status().as_u16() }))
+        // An engine that refuses a request has not run it.
+        Err(CallError::not_done(CallFault::Refused { status: response.status().as_u16() }))
     }
 
-    async fn read(answer: Response<Incoming>) -> Result<Bytes, CallError> {
-        let body = read_limited(answer.into_body(), ANSWER_LIMIT, BODY_TIMEOUT).await;
+    async fn read(response: Response<Incoming>) -> Result<Bytes, CallError> {
+        let body = read_limited(response.into_body(), MAX_RESPONSE_BYTES, BODY_TIMEOUT).await;
         body.map_err(|_| CallError::unknown(CallFault::Closed))
     }
 }
@@ -59,8 +60,8 @@
 impl Engine for HttpEngine {
     fn generate(&self, req: Generate) -> Call<'_, Frames> {
         Box::pin(async move {
-            let answer = self.post("/generate", encode(&req)?).await?;
-            Ok(frames(answer, self.progress))
+            let response = self.post("/generate", encode(&req)?).await?;
+            Ok(frames(response, self.frame_timeout))
         })
     }
 
@@ -72,22 +73,22 @@
 
     fn load(&self) -> Call<'_, EngineLoad> {
         Box::pin(async move {
-            let answer = self.post("/load", Bytes::new()).await?;
-            decode(&Self::read(answer).await?)
+            let response = self.post("/load", Bytes::new()).await?;
+            decode(&Self::read(response).await?)
         })
     }
 
     fn cache_events(&self, after: u64) -> Call<'_, Vec<CacheEvent>> {
         Box::pin(async move {
-            let answer = self.post(&format!("/events/{after}"), Bytes::new()).await?;
-            decode(&Self::read(answer).await?)
+            let response = self.post(&format!("/events/{after}"), Bytes::new()).await?;
+            decode(&Self::read(response).await?)
         })
     }
 
     fn export_cache(&self, request: RequestId) -> Call<'_, Bytes> {
         Box::pin(async move {
-            let answer = self.post(&format!("/export/{request}"), Bytes::new()).await?;
-            Self::read(answer).await
+            let response = self.post(&format!("/export/{request}"), Bytes::new()).await?;
+            Self::read(response).await
         })
     }
 
@@ -100,19 +101,19 @@
     }
 }
 
-// A connection can go silent for good. A frame that does not come within the progress time-out
-// ends the stream with an error, so that the request goes on elsewhere.
-fn frames(answer: Response<Incoming>, progress: Duration) -> Frames {
-    let events = BodyDataStream::new(answer.into_body()).eventsource();
+// A connection can become silent without being closed. If no frame arrives within the timeout, the
+// stream ends with an error, so that the request continues elsewhere.
+fn frames(response: Response<Incoming>, frame_timeout: Duration) -> Frames {
+    let events = BodyDataStream::new(response.into_body()).eventsource();
     let frames = stream::unfold(Some(Box::pin(events)), move |events| async move {
         let mut events = events?;
-        let frame = match timeout(progress, events.next()).await {
+        let frame = match timeout(frame_timeout, events.next()).await {
             Err(_) => Err(CallError::unknown(CallFault::Timeout)),
             Ok(None) | Ok(Some(Err(_))) => Err(CallError::unknown(CallFault::Closed)),
             Ok(Some(Ok(event))) => decode(event.data.as_bytes()),
         };
-        let goes_on = matches!(frame, Ok(Frame::Token(_)));
-        Some((frame, goes_on.then_some(events)))
+        let is_open = matches!(frame, Ok(Frame::Token(_)));
+        Some((frame, is_open.then_some(events)))
     });
     Box::pin(frames)
 }
--- a/crates/external/src/clients/json.rs
+++ b/crates/external/src/clients/json.rs
@@ -1,4 +1,4 @@
-//! Calls with JSON both ways, as the platform's smaller services take them.
+//! Calls with JSON requests and responses, as used by the platform's smaller services.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
     http::{Endpoint, read_limited},
 };
 
-/// The largest answer that is read, in bytes.
-const ANSWER_LIMIT: usize = 8 << 20;
-/// The longest time for the body of an answer.
+/// The maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
+/// The time limit for the body of a response.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Gets a value.
@@ -22,7 +22,7 @@
     call(endpoint, Method::GET, path, Bytes::new()).await
 }
 
-/// Posts a value and returns what is answered.
+/// Posts a value and returns the value in the response.
 pub async fn post<T: DeserializeOwned>(
     endpoint: &Endpoint,
     path: &str,
@@ -40,15 +40,15 @@
 ) -> Result<T, CallError> {
     let req = Request::builder().method(method).uri(path).body(Full::new(body));
     let req = req.map_err(|_| CallError::not_done(CallFault::Malformed))?;
-    let answer = endpoint.send(req).await?;
-    let status = answer.status();
+    let response = endpoint.send(req).await?;
+    let status = response.status();
     if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE {
         return Err(CallError::not_done(CallFault::Refused { status: status.as_u16() }));
     }
     if status != StatusCode::OK {
         return Err(CallError::unknown(CallFault::Refused { status: status.as_u16() }));
     }
-    let body = read_limited(answer.into_body(), ANSWER_LIMIT, BODY_TIMEOUT).await;
+    let body = read_limited(response.into_body(), MAX_RESPONSE_BYTES, BODY_TIMEOUT).await;
     let body = body.map_err(|_| CallError::unknown(CallFault::Closed))?;
     serde_json::from_slice(&body).map_err(|_| CallError::unknown(CallFault::Malformed))
 }
--- a/crates/external/src/clients/kv.rs
+++ b/crates/external/src/clients/kv.rs
@@ -14,25 +14,25 @@
     kv::{CasOutcome, Changes, KeyValue, LeaseId, MAX_VALUE_BYTES, Version, Versioned},
 };
 
-/// The header that carries a key's version.
+/// The header with the version of a key.
 pub const VERSION_HEADER: &str = "x-version";
-/// The header that carries the version that a write expects.
+/// The header with the version that a write expects.
 pub const EXPECTED_VERSION_HEADER: &str = "x-expect-version";
-/// The header that carries the lease that a key is tied to.
+/// The header with the lease that a key is attached to.
 pub const LEASE_HEADER: &str = "x-lease";
-/// How the body of an answer has to arrive.
-const BODY: BodyTimeouts =
+/// The time limits for the body of a response.
+const BODY_TIMEOUTS: BodyTimeouts =
     BodyTimeouts { idle: Duration::from_secs(2), total: Duration::from_secs(20) };
-/// The largest answer, in bytes: a value, or a list of keys.
-const ANSWER_LIMIT: usize = MAX_VALUE_BYTES + (1 << 16);
+/// The maximum size of a response, in bytes: a value or a list of keys.
+const MAX_RESPONSE_BYTES: usize = MAX_VALUE_BYTES + (1 << 16);
 
-/// An `HttpKeyValue` is the key-value service reached by HTTP.
+/// An `HttpKeyValue` is a client of the key-value service.
 pub struct HttpKeyValue {
     endpoint: Endpoint,
 }
 
 impl HttpKeyValue {
-    /// Returns the service at `endpoint`.
+    /// Returns a client of the service at `endpoint`.
     pub fn new(endpoint: Endpoint) -> HttpKeyValue {
         HttpKeyValue { endpoint }
     }
@@ -44,9 +44,9 @@
     ) -> Result<Response<Incoming>, CallError> {
         let req = builder.body(Full::new(body));
         let req = req.map_err(|_| CallError::not_done(CallFault::Malformed))?;
-        let answer = self.endpoint.send(req).await?;
-        match answer.status() {
-            StatusCode::OK | StatusCode::CONFLICT => Ok(answer),
+        let response = self.endpoint.send(req).await?;
+        match response.status() {
+            StatusCode::OK | StatusCode::CONFLICT => Ok(response),
             status if status.is_client_error() => {
                 Err(CallError::not_done(CallFault::Refused { status: status.as_u16() }))
             }
@@ -59,9 +59,9 @@
         builder: request::Builder,
         body: Bytes,
     ) -> Result<CasOutcome, CallError> {
-        let answer = self.send(builder, body).await?;
-        let conflict = answer.status() == StatusCode::CONFLICT;
-        let found = versioned(answer).await?;
+        let response = self.send(builder, body).await?;
+        let conflict = response.status() == StatusCode::CONFLICT;
+        let found = read_versioned(response).await?;
         Ok(if conflict { CasOutcome::Conflict(found) } else { CasOutcome::Written(found.version) })
     }
 }
@@ -70,7 +70,7 @@
     fn get<'a>(&'a self, key: &'a str) -> Call<'a, Versioned> {
         Box::pin(async move {
             let builder = Request::builder().method(Method::GET).uri(key_path(key));
-            versioned(self.send(builder, Bytes::new()).await?).await
+            read_versioned(self.send(builder, Bytes::new()).await?).await
         })
     }
 
@@ -129,8 +129,8 @@
     fn watch<'a>(&'a self, prefix: &'a str, after: Version, wait: Duration) -> Call<'a, Changes> {
         Box::pin(async move {
             let uri = format!("/watch/{}/{}/{prefix}", after.0, wait.as_millis());
-            let answer = self.send(Request::builder().uri(uri), Bytes::new()).await?;
-            Ok(Changes::after(after, read_json(answer).await?))
+            let response = self.send(Request::builder().uri(uri), Bytes::new()).await?;
+            Ok(Changes::after(after, read_json(response).await?))
         })
     }
 }
@@ -139,17 +139,17 @@
     format!("/kv/{key}")
 }
 
-async fn versioned(answer: Response<Incoming>) -> Result<Versioned, CallError> {
+async fn read_versioned(response: Response<Incoming>) -> Result<Versioned, CallError> {
     let malformed = || CallError::unknown(CallFault::Malformed);
-    let header = answer.headers().get(VERSION_HEADER).ok_or_else(malformed)?;
+    let header = response.headers().get(VERSION_HEADER).ok_or_else(malformed)?;
     let version = header.to_str().map_err(|_| malformed())?.parse().map_err(|_| malformed())?;
-    let body = read_with_timeouts(answer.into_body(), ANSWER_LIMIT, BODY).await;
+    let body = read_with_timeouts(response.into_body(), MAX_RESPONSE_BYTES, BODY_TIMEOUTS).await;
     let value = body.map_err(|error| CallError::unknown(error.into()))?;
     Ok(Versioned { version: Version(version), value })
 }
 
-async fn read_json<T: DeserializeOwned>(answer: Response<Incoming>) -> Result<T, CallError> {
-    let body = read_with_timeouts(answer.into_body(), ANSWER_LIMIT, BODY).await;
+async fn read_json<T: DeserializeOwned>(response: Response<Incoming>) -> Result<T, CallError> {
+    let body = read_with_timeouts(response.into_body(), MAX_RESPONSE_BYTES, BODY_TIMEOUTS).await;
     let body = body.map_err(|error| CallError::unknown(error.into()))?;
     serde_json::from_slice(&body).map_err(|_| CallError::unknown(CallFault::Malformed))
 }
--- a/crates/external/src/clients/service.rs
+++ b/crates/external/src/clients/service.rs
@@ -12,19 +12,19 @@
     service::{PlainService, ServiceCall, ServiceResponse},
 };
 
-/// The header that carries a fencing number.
+/// The header with a fencing number.
 pub const FENCING_NUMBER_HEADER: &str = "x-fencing-number";
-/// The largest answer of a plain service, in bytes.
-const ANSWER_LIMIT: usize = 8 << 20;
+/// The maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// An `HttpService` is a backend server of a plain service reached by HTTP.
+/// An `HttpService` is a client of one backend server of a plain service.
 pub struct HttpService {
     endpoint: Endpoint,
     timeout: Duration,
 }
 
 impl HttpService {
-    /// Returns the backend server at `endpoint`, whose answers' bodies may take `timeout`.
+    /// Returns a client of the backend server at `endpoint`; `timeout` limits the body of a response.
     pub fn new(endpoint: Endpoint, timeout: Duration) -> HttpService {
         HttpService { endpoint, timeout }
     }
@@ -43,9 +43,9 @@
             let req = builder.body(Full::new(call.body));
             let req = req.map_err(|_| CallError::not_done(CallFault::Malformed))?;
 
-            let answer = self.endpoint.send(req).await?;
-            let (parts, body) = answer.into_parts();
-            let body = read_limited(body, ANSWER_LIMIT, self.timeout).await;
+            let response = self.endpoint.send(req).await?;
+            let (parts, body) = response.into_parts();
+            let body = read_limited(body, MAX_RESPONSE_BYTES, self.timeout).await;
             let body = body.map_err(|_| CallError::unknown(CallFault::Closed))?;
             Ok(ServiceResponse { status: parts.status, headers: parts.headers, body })
         })
--- a/crates/external/src/clients/vm_list.rs
+++ b/crates/external/src/clients/vm_list.rs
@@ -7,13 +7,13 @@
     vm_list::{ListedVm, VmList},
 };
 
-/// An `HttpVmList` is the list of VMs reached by HTTP.
+/// An `HttpVmList` is a client of the list of VMs.
 pub struct HttpVmList {
     endpoint: Endpoint,
 }
 
 impl HttpVmList {
-    /// Returns the list at `endpoint`.
+    /// Returns a client of the list at `endpoint`.
     pub fn new(endpoint: Endpoint) -> HttpVmList {
         HttpVmList { endpoint }
     }
--- a/crates/external/src/clients/weights.rs
+++ b/crates/external/src/clients/weights.rs
@@ -9,13 +9,13 @@
     weights::{WeightGrant, WeightStore},
 };
 
-/// An `HttpWeightStore` is the weight store reached by HTTP.
+/// An `HttpWeightStore` is a client of the weight store.
 pub struct HttpWeightStore {
     endpoint: Endpoint,
 }
 
 impl HttpWeightStore {
-    /// Returns the weight store at `endpoint`.
+    /// Returns a client of the weight store at `endpoint`.
     pub fn new(endpoint: Endpoint) -> HttpWeightStore {
         HttpWeightStore { endpoint }
     }
--- a/crates/external/src/cloud.rs
+++ b/crates/external/src/cloud.rs
@@ -5,11 +5,11 @@
 
 use crate::Call;
 
-/// A `Market` tells whether a VM can be taken back.
+/// A `Market` states whether the cloud may reclaim a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Market {
-    /// Cheap, and taken back after a notice.
+    /// Cheaper, and reclaimed after a notice.
     Reclaimable,
     /// Kept until it is released.
     OnDemand,
@@ -20,47 +20,47 @@
 pub struct Offer {
     /// The availability zone.
     pub zone: ZoneName,
-    /// The class of machine.
+    /// The class of VM.
     pub class: String,
-    /// Whether its VMs can be taken back.
+    /// Whether the cloud may reclaim the VM.
     pub market: Market,
-    /// The price of an hour, in thousandths of a cent.
+    /// The price per hour, in thousandths of a cent.
     pub price: u64,
 }
 
-/// A `Purchase` asks for one VM; asking again with the same token buys no second one.
+/// A `Purchase` is an order for one VM; repeating it with the same token buys no second one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Purchase {
     /// The token that makes the purchase idempotent.
     pub token: String,
     /// The availability zone.
     pub zone: ZoneName,
-    /// The class of machine.
+    /// The class of VM.
     pub class: String,
-    /// Whether the VM may be taken back.
+    /// Whether the cloud may reclaim the VM.
     pub market: Market,
-    /// The tag that tells later whose VM it is.
+    /// The tag that identifies the owner of the VM later.
     pub tag: String,
 }
 
-/// A `Notice` announces that a VM is taken back.
+/// A `Notice` announces that a VM is about to be reclaimed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
     /// The VM.
     pub vm: VmName,
-    /// The milliseconds that are left, at the time of the answer.
+    /// The time left at the time of the response, in milliseconds.
     pub left_ms: u64,
 }
 
 /// A `Cloud` sells VMs and announces reclaims.
 pub trait Cloud: Send + Sync {
-    /// Gets what can be bought now.
+    /// Gets the current offers.
     fn offers(&self) -> Call<'_, Vec<Offer>>;
 
     /// Buys a VM and returns its name.
     fn buy(&self, purchase: Purchase) -> Call<'_, VmName>;
 
-    /// Gives a VM back.
+    /// Releases a VM.
     fn release<'a>(&'a self, vm: &'a VmName) -> Call<'a, ()>;
 
     /// Gets the notices that are in force.
--- a/crates/external/src/engine.rs
+++ b/crates/external/src/engine.rs
@@ -9,20 +9,20 @@
 
 use crate::{Call, CallError};
 
-/// A `Generate` asks an engine to continue an answer.
+/// A `Generate` is a request to an engine to start or continue a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Generate {
-    /// The request that the answer belongs to.
+    /// The request that the response belongs to.
     pub request: RequestId,
-    /// The number of the attempt, over all nodes; frames of older attempts are dropped.
+    /// The number of the attempt, counted over all nodes; frames of older attempts are dropped.
     pub attempt: u32,
-    /// The model that is to answer.
+    /// The model to run.
     pub model: ModelName,
     /// The prompt.
     pub prompt: String,
-    /// The tokens that the caller was already given; the answer continues behind them.
+    /// The tokens that the caller has already received; the response continues after them.
     pub emitted: Vec<String>,
-    /// The most tokens that the whole answer may have, the emitted ones included.
+    /// The maximum number of tokens of the whole response, including the emitted ones.
     pub max_tokens: u32,
     /// The priority; 0 is the most urgent.
     pub priority: u8,
@@ -30,52 +30,52 @@
     pub fence: FencingNumber,
 }
 
-/// A `Frame` is one part of an engine's answer.
+/// A `Frame` is one part of an engine's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Frame {
-    /// The next token's text.
+    /// The text of the next token.
     Token(String),
-    /// The answer is whole.
+    /// The response is complete.
     Done(Usage),
 }
 
-/// A `Usage` tells what an answer took.
+/// A `Usage` states the numbers of tokens of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// The tokens of the prompt.
+    /// The number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// The tokens of the answer, emitted ones included.
+    /// The number of tokens of the response, including the emitted ones.
     pub completion_tokens: u32,
-    /// The tokens of prompt and emitted tokens that were found in the cache.
+    /// The number of tokens, of the prompt and the emitted tokens, that were found in the cache.
     pub cached_tokens: u32,
-    /// The tokens that were computed a second time because of a resume.
+    /// The number of tokens that were computed again because of a resume.
     pub recomputed_tokens: u32,
-    /// Whether the answer ended because it had as many tokens as it may have.
+    /// Whether the response ended because it reached the maximum number of tokens.
     pub truncated: bool,
 }
 
-/// An `EngineLoad` is an engine's report of its load; it lags behind.
+/// An `EngineLoad` is an engine's report of its load, which may be outdated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// The number of requests in the batch.
     pub running: u32,
-    /// The number of requests that wait for a place in the batch.
+    /// The number of requests that wait to join the batch.
     pub waiting: u32,
-    /// The tokens of prompts that wait to be computed.
+    /// The number of prompt tokens that wait for prefill.
     pub prefill_backlog: u32,
-    /// The tokens held in the prefix cache.
+    /// The number of tokens in the prefix cache.
     pub cached_tokens: u32,
-    /// The time between two tokens of one answer, in microseconds.
+    /// The time between two tokens of one response, in microseconds.
     pub step_micros: u32,
 }
 
-/// An `EngineOrder` tells an engine what it shall be; repeating it changes nothing.
+/// An `EngineOrder` is the desired state of an engine; sending it again changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
     /// The fencing number of the sender.
     pub fence: FencingNumber,
-    /// The number of this desired state; an engine that keeps count takes only newer ones.
+    /// The generation of the desired state; an engine that checks it accepts only newer ones.
     pub generation: u64,
     /// The model to load.
     pub model: ModelName,
@@ -85,7 +85,7 @@
     pub role: EngineRole,
 }
 
-/// An `EngineRole` is the part of the work that an engine does.
+/// An `EngineRole` is the phase of requests that an engine runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EngineRole {
@@ -98,31 +98,31 @@
     Decode,
 }
 
-/// A `CacheEvent` tells that a block of tokens came into an engine's prefix cache or left it.
+/// A `CacheEvent` reports that a block of tokens was added to an engine's prefix cache or evicted.
 ///
-/// Events come late, and some are lost: a gap in the sequence shows it.
+/// Events arrive late, and some are lost, which shows as a gap in the sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// The count of the engine's events before this one.
+    /// The number of the engine's events before this one.
     pub sequence: u64,
     /// The hash of the block and of all tokens before it.
     pub block: u64,
-    /// Whether the block is now held.
+    /// Whether the block is now in the cache.
     pub held: bool,
 }
 
-/// A stream of an answer's frames; it ends after [`Frame::Done`] or an error.
+/// The stream of a response's frames; it ends after [`Frame::Done`] or an error.
 pub type Frames = Pin<Box<dyn Stream<Item = Result<Frame, CallError>> + Send>>;
 
 /// An `Engine` is one model engine on one VM.
 pub trait Engine: Send + Sync {
-    /// Starts or continues an answer.
+    /// Starts or continues a response.
     fn generate(&self, req: Generate) -> Call<'_, Frames>;
 
-    /// Stops work on a request.
+    /// Cancels a request.
     fn cancel(&self, request: RequestId) -> Call<'_, ()>;
 
-    /// Gets the latest report of load.
+    /// Gets the latest load report.
     fn load(&self) -> Call<'_, EngineLoad>;
 
     /// Gets the cache events from number `after` on.
@@ -131,9 +131,9 @@
     /// Gets the KV cache of a request.
     fn export_cache(&self, request: RequestId) -> Call<'_, Bytes>;
 
-    /// Puts an exported KV cache into the engine's cache.
+    /// Imports an exported KV cache into the engine's cache.
     fn import_cache(&self, cache: Bytes) -> Call<'_, ()>;
 
-    /// Orders a model, version and role.
+    /// Sets the model, version and role of the engine.
     fn order(&self, order: EngineOrder) -> Call<'_, ()>;
 }
--- a/crates/external/src/errors.rs
+++ b/crates/external/src/errors.rs
@@ -1,4 +1,4 @@
-//! How a call to a backend server, a peer or the platform can fail.
+//! Errors of calls to backend servers, peers and the platform.
 
 use std::{error, fmt};
 
@@ -6,46 +6,46 @@
 
 use crate::http::BodyError;
 
-/// A `CallError` is a failed call: what went wrong and whether the call may have taken effect.
+/// A `CallError` states why a call failed and whether it may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallError {
-    /// What went wrong.
+    /// The kind of failure.
     pub fault: CallFault,
-    /// Whether the other side may have acted on the call.
+    /// Whether the server may have run the call.
     pub ran: Ran,
 }
 
-/// A `CallFault` is the kind of a failed call.
+/// A `CallFault` is the kind of failure of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallFault {
     /// No connection could be opened.
     Connect,
-    /// The process behind the address is not the one that was meant.
+    /// The process at the address is not the expected one.
     Identity,
-    /// The other side made no progress for too long.
+    /// The server made no progress within the timeout.
     Timeout,
-    /// The connection ended before the answer was whole.
+    /// The connection was closed before the response was complete.
     Closed,
-    /// The other side refused the call.
+    /// The server refused the call.
     Refused {
         /// The HTTP status.
         status: u16,
     },
-    /// The answer is larger than this node reads.
+    /// The response is larger than the limit of this node.
     TooLarge,
-    /// The answer could not be read.
+    /// The request or response could not be encoded or decoded.
     Malformed,
-    /// The caller's own budget for such calls is spent.
+    /// The caller's own budget for such calls is exhausted.
     Budget,
 }
 
 impl CallError {
-    /// Returns the error of a call that certainly did not take effect.
+    /// Returns the error of a call that did not take effect and will not.
     pub fn not_done(fault: CallFault) -> CallError {
         CallError { fault, ran: Ran::No }
     }
 
-    /// Returns the error of a call that may have taken effect or may yet do so.
+    /// Returns the error of a call that may have taken effect or may still do so.
     pub fn unknown(fault: CallFault) -> CallError {
         CallError { fault, ran: Ran::Unknown }
     }
@@ -65,13 +65,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.fault {
             CallFault::Connect => f.write_str("no connection could be opened"),
-            CallFault::Identity => f.write_str("another process answers at the address"),
-            CallFault::Timeout => f.write_str("no progress within the time-out"),
-            CallFault::Closed => f.write_str("the connection ended early"),
+            CallFault::Identity => f.write_str("another process listens on the address"),
+            CallFault::Timeout => f.write_str("no progress within the timeout"),
+            CallFault::Closed => f.write_str("the connection was closed early"),
             CallFault::Refused { status } => write!(f, "refused with status {status}"),
-            CallFault::TooLarge => f.write_str("the answer is larger than allowed"),
-            CallFault::Malformed => f.write_str("the answer could not be read"),
-            CallFault::Budget => f.write_str("the budget for such calls is spent"),
+            CallFault::TooLarge => f.write_str("the response is larger than allowed"),
+            CallFault::Malformed => f.write_str("malformed request or response"),
+            CallFault::Budget => f.write_str("the budget for such calls is exhausted"),
         }?;
         write!(f, " (ran: {})", self.ran.as_str())
     }
--- a/crates/external/src/http/body.rs
+++ b/crates/external/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and responses.
 
 use std::{error, fmt, pin::pin, time::Duration};
 
@@ -7,27 +7,27 @@
 use http_body_util::{BodyExt, Empty, Full, LengthLimitError, Limited, StreamBody, combinators};
 use hyper::body::Frame;
 
-/// The body of an answer.
+/// The body of a response.
 pub type Body = combinators::UnsyncBoxBody<Bytes, BoxError>;
 
-/// What ends a body early; the connection is then closed without the body's regular end.
+/// The error that aborts a body; the connection is then closed without the regular end of the body.
 pub type BoxError = Box<dyn error::Error + Send + Sync>;
 
-/// A `BodyError` tells why a body could not be read.
+/// A `BodyError` states why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
     /// The body is larger than allowed.
     TooLarge,
     /// The body did not arrive in time.
     Timeout,
-    /// The connection ended within the body.
+    /// The connection was closed within the body.
     Closed,
 }
 
-/// `BodyTimeouts` bound the reading of a body, which may be large for its link.
+/// `BodyTimeouts` are the time limits for reading a body that may be large or on a slow link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyTimeouts {
-    /// The longest time in which no byte arrives.
+    /// The longest time without received bytes.
     pub idle: Duration,
     /// The longest time for the whole body.
     pub total: Duration,
@@ -38,7 +38,7 @@
         f.write_str(match self {
             BodyError::TooLarge => "the body is too large",
             BodyError::Timeout => "the body did not arrive in time",
-            BodyError::Closed => "the connection ended within the body",
+            BodyError::Closed => "the connection was closed within the body",
         })
     }
 }
@@ -50,7 +50,7 @@
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Returns a body that is known as a whole.
+/// Returns a body with all its bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
@@ -60,7 +60,7 @@
     StreamBody::new(chunks.map(|chunk| Ok(Frame::data(chunk)))).boxed_unsync()
 }
 
-/// Returns the whole of a body of at most `limit` bytes that arrives within `timeout`.
+/// Returns all bytes of a body of at most `limit` bytes that arrives within `timeout`.
 pub async fn read_limited<B>(body: B, limit: usize, timeout: Duration) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes>,
@@ -70,18 +70,18 @@
     match collected {
         Err(_) => Err(BodyError::Timeout),
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) => Err(broken(&error)),
+        Ok(Err(error)) => Err(to_body_error(&error)),
     }
 }
 
-fn broken(error: &BoxError) -> BodyError {
+fn to_body_error(error: &BoxError) -> BodyError {
     if error.is::<LengthLimitError>() { BodyError::TooLarge } else { BodyError::Closed }
 }
 
-/// Returns the whole of a body of at most `limit` bytes that keeps arriving.
+/// Returns all bytes of a body of at most `limit` bytes that arrives without long interruptions.
 ///
-/// A time-out for the whole makes what is too large for a slow link arrive never: it is cut, asked for
-/// again, and takes the link from everything else meanwhile.
+/// With a short timeout for the whole body, one that is too large for a slow link would never arrive:
+/// it would be aborted and requested again, and occupy the link in the meantime.
 pub async fn read_with_timeouts<B>(
     body: B,
     limit: usize,
@@ -96,16 +96,16 @@
     read.unwrap_or(Err(BodyError::Timeout))
 }
 
-async fn read_frames<B>(body: B, pause: Duration) -> Result<Bytes, BodyError>
+async fn read_frames<B>(body: B, idle_timeout: Duration) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes, Error = BoxError>,
 {
     let mut body = pin!(body);
     let mut read = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(pause, body.frame()).await;
+        let frame = tokio::time::timeout(idle_timeout, body.frame()).await;
         let Some(frame) = frame.map_err(|_| BodyError::Timeout)? else { return Ok(read.freeze()) };
-        let Ok(data) = frame.map_err(|error| broken(&error))?.into_data() else { continue };
+        let Ok(data) = frame.map_err(|error| to_body_error(&error))?.into_data() else { continue };
         read.extend_from_slice(&data);
     }
 }
--- a/crates/external/src/http/endpoint.rs
+++ b/crates/external/src/http/endpoint.rs
@@ -1,4 +1,4 @@
-//! The client side: one server at one address, with its open connections.
+//! The HTTP client of one server, with a pool of idle connections.
 
 use std::{
     net::SocketAddr,
@@ -23,30 +23,30 @@
     http::{Connection, Tls, read_limited, trace},
 };
 
-/// The path under which a backend server tells who it is.
+/// The path under which a backend server reports its identity.
 const IDENTITY_PATH: &str = "/identity";
-/// The largest answer to the question of identity, in bytes.
-const IDENTITY_LIMIT: usize = 1_024;
+/// The maximum size of the identity response, in bytes.
+const MAX_IDENTITY_BYTES: usize = 1_024;
 
-/// An `Identity` tells which VM a backend server runs on.
+/// An `Identity` states which VM a backend server runs on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The VM.
     pub vm: VmName,
 }
 
-/// `EndpointOptions` bound the calls to one server.
+/// `EndpointOptions` are the limits and the security of connections to one server.
 #[derive(Clone, Debug)]
 pub struct EndpointOptions {
-    /// The longest time for opening a connection.
+    /// The time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// The longest time until the answer's headers arrive.
+    /// The time limit until the headers of the response arrive.
     pub response_timeout: Duration,
-    /// The most idle connections that are kept.
+    /// The maximum number of idle connections that are kept.
     pub max_idle: usize,
-    /// The VM that must answer on each new connection, where that is known.
+    /// The VM whose identity is checked on each new connection, if it is known.
     pub vm: Option<VmName>,
-    /// How connections are protected, if they are.
+    /// The TLS configuration, if connections use TLS.
     pub tls: Option<Arc<Tls>>,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// An `Endpoint` is one server at one address, with its open connections.
+/// An `Endpoint` is a client of one server, with a pool of idle connections.
 pub struct Endpoint {
     address: SocketAddr,
     host: HeaderValue,
@@ -73,7 +73,7 @@
 type Sender = http1::SendRequest<Full<Bytes>>;
 
 impl Endpoint {
-    /// Returns the endpoint at `address`; no connection is opened yet.
+    /// Returns a client of the server at `address`, without opening a connection.
     pub fn new(address: SocketAddr, options: EndpointOptions) -> Endpoint {
         let host = HeaderValue::from_str(&address.to_string())
             .unwrap_or_else(|_| HeaderValue::from_static("localhost"));
@@ -85,10 +85,10 @@
         self.address
     }
 
-    /// Sends a request and returns the answer once its headers are there.
+    /// Sends a request and returns the response once its headers have arrived.
     ///
-    /// The error says whether the request may have reached the server: a request that hyper
-    /// hands back was never written.
+    /// The error states whether the request may have reached the server: a request that hyper
+    /// returns was never written.
     pub async fn send(&self, req: Request<Full<Bytes>>) -> Result<Response<Incoming>, CallError> {
         let span = trace::call_span(self.address, req.uri().path());
         self.send_traced(req).instrument(span).await
@@ -101,11 +101,11 @@
         req.headers_mut().insert(HOST, self.host.clone());
         trace::inject(req.headers_mut());
 
-        // A kept connection may have been closed by the other side in the meantime. Hyper then
-        // hands the unsent request back, and it goes out on another connection.
+        // The server may have closed an idle connection in the meantime. Hyper then returns the
+        // unsent request, which is sent on another connection.
         while let Some(sender) = self.take_idle() {
             match self.send_on(sender, req).await {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err((Some(unsent), _)) => req = unsent,
                 Err((None, error)) => return Err(error),
             }
@@ -120,19 +120,19 @@
         mut sender: Sender,
         req: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, (Option<Request<Full<Bytes>>>, CallError)> {
-        // Dropping the sender after the time-out closes the connection: one that has gone silent
-        // is not used again.
+        // Dropping the sender after the timeout closes the connection, so that a silent one is not
+        // used again.
         let sent = timeout(self.options.response_timeout, sender.try_send_request(req)).await;
         match sent {
             Err(_) => {
-                // What silenced this connection mostly silenced the others that were open then;
-                // each would cost a whole time-out of its own.
+                // The cause usually affects the other idle connections too, and each of them would
+                // cost another full timeout.
                 self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).clear();
                 Err((None, CallError::unknown(CallFault::Timeout)))
             }
-            Ok(Ok(answer)) => {
-                self.keep(sender);
-                Ok(answer)
+            Ok(Ok(response)) => {
+                self.put_idle(sender);
+                Ok(response)
             }
             Ok(Err(mut error)) => {
                 let unsent = error.take_message();
@@ -143,46 +143,47 @@
     }
 
     async fn open(&self) -> Result<Sender, CallError> {
-        let connect = || CallError::not_done(CallFault::Connect);
+        let failed = || CallError::not_done(CallFault::Connect);
         let opened = timeout(self.options.connect_timeout, TcpStream::connect(self.address)).await;
-        let stream = opened.map_err(|_| connect())?.map_err(|_| connect())?;
+        let stream = opened.map_err(|_| failed())?.map_err(|_| failed())?;
         let _ = stream.set_nodelay(true);
-        let (sender, connection) = http1::handshake(TokioIo::new(self.protect(stream).await?))
+        let (sender, connection) = http1::handshake(TokioIo::new(self.start_tls(stream).await?))
             .await
-            .map_err(|_| connect())?;
+            .map_err(|_| failed())?;
         tokio::spawn(connection);
         self.check_identity(sender).await
     }
 
-    async fn protect(&self, stream: TcpStream) -> Result<Box<dyn Connection>, CallError> {
+    async fn start_tls(&self, stream: TcpStream) -> Result<Box<dyn Connection>, CallError> {
         let Some(tls) = &self.options.tls else { return Ok(Box::new(stream)) };
-        let unfit = || CallError::not_done(CallFault::Identity);
-        let protected = timeout(self.options.connect_timeout, tls.connect(stream)).await;
-        protected.map_err(|_| unfit())?.map_err(|_| unfit())
+        let tls_failed = || CallError::not_done(CallFault::Identity);
+        let handshake = timeout(self.options.connect_timeout, tls.connect(stream)).await;
+        handshake.map_err(|_| tls_failed())?.map_err(|_| tls_failed())
     }
 
-    // IP numbers are used again: a new VM may answer at an old one's address. Asking who answers
-    // on each new connection keeps a request from reaching a server it was not meant for.
+    // IP addresses are reused: a new VM may have the address of an old one. Checking the identity on
+    // each new connection keeps a request from reaching the wrong server.
     async fn check_identity(&self, mut sender: Sender) -> Result<Sender, CallError> {
         let Some(vm) = &self.options.vm else { return Ok(sender) };
-        let wrong = || CallError::not_done(CallFault::Identity);
+        let mismatch = || CallError::not_done(CallFault::Identity);
         let req = Request::get(IDENTITY_PATH)
             .header(HOST, self.host.clone())
             .body(Full::default())
-            .map_err(|_| wrong())?;
+            .map_err(|_| mismatch())?;
 
         let sent = timeout(self.options.connect_timeout, sender.send_request(req)).await;
-        let answer = sent.map_err(|_| CallError::not_done(CallFault::Timeout))?;
-        let answer = answer.map_err(|_| CallError::not_done(CallFault::Closed))?;
-        if answer.status() != StatusCode::OK {
-            return Err(wrong());
+        let response = sent.map_err(|_| CallError::not_done(CallFault::Timeout))?;
+        let response = response.map_err(|_| CallError::not_done(CallFault::Closed))?;
+        if response.status() != StatusCode::OK {
+            return Err(mismatch());
         }
         let body =
-            read_limited(answer.into_body(), IDENTITY_LIMIT, self.options.connect_timeout).await;
-        let body = body.map_err(|_| wrong())?;
-        let identity: Identity = serde_json::from_slice(&body).map_err(|_| wrong())?;
+            read_limited(response.into_body(), MAX_IDENTITY_BYTES, self.options.connect_timeout)
+                .await;
+        let body = body.map_err(|_| mismatch())?;
+        let identity: Identity = serde_json::from_slice(&body).map_err(|_| mismatch())?;
         if identity.vm != *vm {
-            return Err(wrong());
+            return Err(mismatch());
         }
         sender.ready().await.map_err(|_| CallError::not_done(CallFault::Closed))?;
         Ok(sender)
@@ -191,11 +192,11 @@
     fn take_idle(&self) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         idle.retain(|sender| !sender.is_closed());
-        let at = idle.iter().position(Sender::is_ready)?;
-        Some(idle.swap_remove(at))
+        let index = idle.iter().position(Sender::is_ready)?;
+        Some(idle.swap_remove(index))
     }
 
-    fn keep(&self, sender: Sender) {
+    fn put_idle(&self, sender: Sender) {
         let mut idle = self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if idle.len() < self.options.max_idle {
             idle.push(sender);
--- a/crates/external/src/http/mod.rs
+++ b/crates/external/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP on both sides: a client that knows whether a call may have left, and a server.
+//! HTTP server and client; the client reports whether a failed request may have been sent.
 
 mod body;
 mod endpoint;
--- a/crates/external/src/http/server.rs
+++ b/crates/external/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server side of HTTP connections.
+//! The HTTP server.
 
 use std::{convert::Infallible, io, sync::Arc, time::Duration};
 
@@ -16,37 +16,37 @@
     http::{Body, ClientAuth, Connection, Tls},
 };
 
-/// The pause after a failed accept, so that a lack of file handles does not become a busy loop.
+/// The pause after a failed accept, which prevents a busy loop when file handles run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A `Handler` answers the requests of one port.
+/// A `Handler` responds to the requests of one port.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Responds to one request.
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>>;
 
-    /// Returns the longest time that a new connection may take to send the head of a request, or
-    /// stay idle between two; none leaves it at what the options of the port say.
+    /// Returns the time limit for the headers of a request, including the idle time before them,
+    /// for new connections; `None` keeps [`ServerOptions::header_timeout`].
     fn header_timeout(&self) -> Option<Duration> {
         None
     }
 }
 
-/// `ServerOptions` bound what a connection may cost.
+/// `ServerOptions` are the limits and the security of the connections of one port.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    /// The longest time that a request's headers may take to arrive.
+    /// The time limit for the headers of a request.
     pub header_timeout: Duration,
-    /// The largest number of headers.
+    /// The maximum number of headers.
     pub max_headers: usize,
-    /// The largest buffer for headers, in bytes.
+    /// The maximum size of the buffer for headers, in bytes.
     pub max_buffer: usize,
-    /// The longest time that a peer may leave written bytes unread.
+    /// The time limit for a peer to accept written bytes.
     pub write_timeout: Duration,
-    /// The most connections that are open at once; further ones are closed on arrival.
+    /// The maximum number of open connections; further ones are closed at once.
     pub max_connections: usize,
-    /// How long open answers may go on after the stop.
+    /// The time limit for in-flight responses after the stop.
     pub drain_timeout: Duration,
-    /// How connections are protected and which clients are taken, if they are protected.
+    /// The TLS configuration and client authentication, if connections use TLS.
     pub tls: Option<(Arc<Tls>, ClientAuth)>,
 }
 
@@ -64,9 +64,9 @@
     }
 }
 
-/// Serves a port until `stop` turns true, then lets open answers end.
+/// Serves a port until `stop` becomes true, then drains the in-flight responses.
 ///
-/// Dropping the future closes every connection at once, as the death of the process would.
+/// Dropping the future closes all connections at once, as a crash of the process would.
 pub async fn serve(
     listener: TcpListener,
     handler: Arc<dyn Handler>,
@@ -92,22 +92,22 @@
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        // Peers that connect and do nothing would otherwise take all file handles.
+        // Peers that connect and do nothing would otherwise use up all file handles.
         if options.max_connections <= connections.len() {
             continue;
         }
-        // Tokens are small; without this they would wait for the acknowledgement of the last one.
+        // Tokens are small; without this, each would wait for the acknowledgement of the previous one.
         let _ = stream.set_nodelay(true);
-        // A peer that never reads would hold its answer for ever. Its connection fails once
-        // nothing could be written for this long, which lets go of everything tied to it.
+        // A peer that never reads would keep its response in memory forever. Its connection fails
+        // once nothing could be written for this long, which releases all its resources.
         let mut stream = TimeoutStream::new(stream);
         stream.set_write_timeout(Some(options.write_timeout));
         let stream = Box::pin(stream);
-        let answering = Arc::clone(&handler);
+        let request_handler = Arc::clone(&handler);
         let service = service_fn(move |mut req: Request<Incoming>| {
             req.extensions_mut().insert(remote);
-            let answer = Arc::clone(&answering).handle(req);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = Arc::clone(&request_handler).handle(req);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let watcher = graceful.watcher();
         let (mut builder, tls) = (builder.clone(), options.tls.clone());
@@ -115,9 +115,9 @@
             builder.header_read_timeout(timeout);
         }
         connections.spawn(async move {
-            // The handshake is part of the connection's own task: a client that never ends it must
+            // The handshake runs in the task of the connection: a client that never completes it must
             // not keep others from connecting.
-            let stream = match protect(stream, tls).await {
+            let stream = match start_tls(stream, tls).await {
                 Ok(stream) => TokioIo::new(stream),
                 Err(error) => {
                     tracing::debug!(event = Event::ConnectionFailed.number(), %error);
@@ -135,7 +135,7 @@
     let _ = tokio::time::timeout(options.drain_timeout, graceful.shutdown()).await;
 }
 
-async fn protect(
+async fn start_tls(
     stream: impl Connection,
     tls: Option<(Arc<Tls>, ClientAuth)>,
 ) -> io::Result<Box<dyn Connection>> {
--- a/crates/external/src/http/tls.rs
+++ b/crates/external/src/http/tls.rs
@@ -1,4 +1,4 @@
-//! TLS on connections that are accepted and opened, with certificates that may be changed.
+//! TLS for accepted and opened connections, with certificates that can be reloaded.
 
 use std::{
     error, fmt, io,
@@ -19,59 +19,60 @@
 };
 use tokio_rustls::{TlsAcceptor, TlsConnector};
 
-/// The name that certificates of nodes and operators carry; addresses change too often for it.
+/// The name in the certificates of nodes and operators; their addresses change too often for
+/// certificates.
 pub const TLS_SERVER_NAME: &str = "bulrush-node";
-/// The longest time that a handshake may take.
+/// The time limit for a handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A `Connection` is an open connection, protected or not.
+/// A `Connection` is an open connection, with or without TLS.
 pub trait Connection: AsyncRead + AsyncWrite + Send + Unpin + 'static {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin + 'static> Connection for T {}
 
-/// A `ClientAuth` selects whether the clients of a port need a certificate.
+/// A `ClientAuth` states whether the clients of a port need a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAuth {
     /// Clients need no certificate.
     Disabled,
-    /// Clients need a certificate that the authority signed.
+    /// Clients need a certificate signed by the authority.
     Required,
 }
 
-/// `TlsFiles` are the files that certificates are read from, in PEM.
+/// `TlsFiles` are the PEM files with the certificates and the private key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsFiles {
-    /// The own certificate chain.
+    /// The certificate chain of this process.
     pub certificate: PathBuf,
-    /// The own private key.
+    /// The private key of this process.
     pub key: PathBuf,
-    /// The certificates of the authority that signs nodes and operators.
+    /// The certificates of the authority that signs the certificates of nodes and operators.
     pub authority: PathBuf,
 }
 
-/// A `Tls` protects connections; its certificates can be read anew while they are open.
+/// A `Tls` is a TLS configuration whose certificates can be reloaded while connections are open.
 pub struct Tls {
     files: TlsFiles,
     current: ArcSwap<Loaded>,
 }
 
-/// A `TlsError` tells why certificates cannot be used.
+/// A `TlsError` states why certificates cannot be used.
 #[derive(Debug)]
 pub enum TlsError {
     /// A file could not be read or is not PEM.
     File(PathBuf, String),
-    /// The certificate, key and authority do not fit together.
-    Unfit(String),
+    /// The certificate, key and authority are invalid or do not match.
+    Invalid(String),
 }
 
 struct Loaded {
-    open_server: Arc<ServerConfig>,
-    signed_server: Arc<ServerConfig>,
+    no_auth_server: Arc<ServerConfig>,
+    client_auth_server: Arc<ServerConfig>,
     client: Arc<ClientConfig>,
 }
 
 impl Tls {
-    /// Returns the protection that the files stand for.
+    /// Returns the TLS configuration loaded from files.
     pub fn load(files: TlsFiles) -> Result<Tls, TlsError> {
         let current = ArcSwap::from_pointee(Loaded::read(&files)?);
         Ok(Tls { files, current })
@@ -82,16 +83,17 @@
         &self.files
     }
 
-    /// Reads the files anew; new connections use what is in them.
+    /// Reloads the files for new connections.
     ///
-    /// After an error the certificates in use stay: a half-written file must not close a port.
+    /// After an error the certificates in use stay in use: a partly written file must not close a
+    /// port.
     pub fn reload(&self) -> Result<(), TlsError> {
         let loaded = Loaded::read(&self.files)?;
         self.current.store(Arc::new(loaded));
         Ok(())
     }
 
-    /// Takes a connection that was accepted.
+    /// Runs the handshake on an accepted connection.
     pub async fn accept(
         &self,
         stream: impl Connection,
@@ -99,14 +101,14 @@
     ) -> io::Result<Box<dyn Connection>> {
         let loaded = self.current.load_full();
         let cfg = match client_auth {
-            ClientAuth::Disabled => &loaded.open_server,
-            ClientAuth::Required => &loaded.signed_server,
+            ClientAuth::Disabled => &loaded.no_auth_server,
+            ClientAuth::Required => &loaded.client_auth_server,
         };
         let handshake = TlsAcceptor::from(Arc::clone(cfg)).accept(stream);
         Ok(Box::new(timeout(HANDSHAKE_TIMEOUT, handshake).await??))
     }
 
-    /// Protects a connection that was opened to a node.
+    /// Runs the handshake on a connection opened to a node.
     pub async fn connect(&self, stream: impl Connection) -> io::Result<Box<dyn Connection>> {
         let connector = TlsConnector::from(Arc::clone(&self.current.load().client));
         let name = ServerName::try_from(TLS_SERVER_NAME).map_err(io::Error::other)?;
@@ -116,30 +118,31 @@
 
 impl Loaded {
     fn read(files: &TlsFiles) -> Result<Loaded, TlsError> {
-        let chain = certificates(&files.certificate)?;
+        let chain = read_certificates(&files.certificate)?;
         let key = PrivateKeyDer::from_pem_file(&files.key)
             .map_err(|error| TlsError::File(files.key.clone(), error.to_string()))?;
         let mut roots = RootCertStore::empty();
-        for certificate in certificates(&files.authority)? {
-            roots.add(certificate).map_err(unfit)?;
+        for certificate in read_certificates(&files.authority)? {
+            roots.add(certificate).map_err(invalid)?;
         }
         let roots = Arc::new(roots);
-        let verifier = WebPkiClientVerifier::builder(Arc::clone(&roots)).build().map_err(unfit)?;
-        let open_server = ServerConfig::builder()
+        let verifier =
+            WebPkiClientVerifier::builder(Arc::clone(&roots)).build().map_err(invalid)?;
+        let no_auth_server = ServerConfig::builder()
             .with_no_client_auth()
             .with_single_cert(chain.clone(), key.clone_key())
-            .map_err(unfit)?;
-        let signed_server = ServerConfig::builder()
+            .map_err(invalid)?;
+        let client_auth_server = ServerConfig::builder()
             .with_client_cert_verifier(verifier)
             .with_single_cert(chain.clone(), key.clone_key())
-            .map_err(unfit)?;
+            .map_err(invalid)?;
         let client = ClientConfig::builder()
             .with_root_certificates(roots)
             .with_client_auth_cert(chain, key)
-            .map_err(unfit)?;
+            .map_err(invalid)?;
         Ok(Loaded {
-            open_server: Arc::new(open_server),
-            signed_server: Arc::new(signed_server),
+            no_auth_server: Arc::new(no_auth_server),
+            client_auth_server: Arc::new(client_auth_server),
             client: Arc::new(client),
         })
     }
@@ -155,24 +158,24 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             TlsError::File(file, cause) => write!(f, "{}: {cause}", file.display()),
-            TlsError::Unfit(cause) => write!(f, "the certificates cannot be used: {cause}"),
+            TlsError::Invalid(cause) => write!(f, "the certificates cannot be used: {cause}"),
         }
     }
 }
 
 impl error::Error for TlsError {}
 
-fn certificates(file: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
+fn read_certificates(file: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
     let failed =
         |error: rustls::pki_types::pem::Error| TlsError::File(file.to_owned(), error.to_string());
     let certificates = CertificateDer::pem_file_iter(file).map_err(failed)?;
     let certificates: Vec<_> = certificates.collect::<Result<_, _>>().map_err(failed)?;
     if certificates.is_empty() {
-        return Err(TlsError::File(file.to_owned(), "no certificate in it".to_owned()));
+        return Err(TlsError::File(file.to_owned(), "no certificate in the file".to_owned()));
     }
     Ok(certificates)
 }
 
-fn unfit(error: impl fmt::Display) -> TlsError {
-    TlsError::Unfit(error.to_string())
+fn invalid(error: impl fmt::Display) -> TlsError {
+    TlsError::Invalid(error.to_string())
 }
--- a/crates/external/src/http/trace.rs
+++ b/crates/external/src/http/trace.rs
@@ -1,23 +1,23 @@
-//! The span of a call that leaves, and the trace context in its headers.
+//! The spans of outgoing calls, and the trace context in their headers.
 
 use std::{net::SocketAddr, sync::OnceLock};
 
 use hyper::HeaderMap;
 use tracing::Span;
 
-/// Writes the current span into headers; unset where spans are not collected.
+/// The function that writes the current span into headers; unset if spans are not collected.
 static INJECTOR: OnceLock<fn(&mut HeaderMap)> = OnceLock::new();
 
-/// Sets what writes the current span into the headers of calls, once for the process.
+/// Sets the function that writes the current span into the headers of calls, once per process.
 pub fn set_trace_injector(injector: fn(&mut HeaderMap)) {
-    // A second start in one process, as tests have it, brings the same function.
+    // Tests start several nodes in one process, which all set the same function.
     let _ = INJECTOR.set(injector);
 }
 
-/// Returns the span of a call to `address`, inside of the current span.
+/// Returns the span of a call to `address`, as a child of the current span.
 ///
-/// A call that belongs to no request has none: heartbeats and the sending of spans itself would
-/// otherwise be traces of their own, and the latter without end.
+/// A call outside of any span gets none: otherwise heartbeats and the export of spans would be
+/// traces of their own, and each export would cause another one.
 pub(super) fn call_span(address: SocketAddr, path: &str) -> Span {
     if Span::current().is_none() {
         return Span::none();
--- a/crates/external/src/lib.rs
+++ b/crates/external/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the system needs of the world outside: trait objects and their HTTP clients.
+//! Interfaces of the external services that the system uses, and their HTTP clients.
 
 pub mod clients;
 pub mod cloud;
@@ -20,8 +20,8 @@
 pub use vm_list::VmList;
 pub use weights::WeightStore;
 
-/// A boxed future, as methods of trait objects return it.
+/// A boxed future, as returned by methods of trait objects.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// A call that ends as done (`Ok`), as not done or as unknown (see [`CallError`]).
+/// A call to an external service; an error states whether the call may have taken effect.
 pub type Call<'a, T> = BoxFuture<'a, Result<T, CallError>>;
--- a/crates/external/src/service.rs
+++ b/crates/external/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services, whose calls are passed through.
+//! Plain services, to which calls are forwarded.
 
 use bulrushhall_core::FencingNumber;
 use bytes::Bytes;
@@ -6,22 +6,22 @@
 
 use crate::Call;
 
-/// A `ServiceCall` is a caller's call as it is passed to a plain service.
+/// A `ServiceCall` is a caller's call as forwarded to a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
     /// The method.
     pub method: Method,
     /// The path and query below the service, with a leading `/`.
     pub path: String,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// The fencing number, for services that compare it.
+    /// The fencing number, for services that check it.
     pub fence: Option<FencingNumber>,
 }
 
-/// A `ServiceResponse` is a plain service's whole answer.
+/// A `ServiceResponse` is the complete response of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceResponse {
     /// The status.
@@ -34,6 +34,6 @@
 
 /// A `PlainService` is one backend server of a plain service.
 pub trait PlainService: Send + Sync {
-    /// Passes a call on and returns the whole answer.
+    /// Forwards a call and returns the complete response.
     fn call(&self, call: ServiceCall) -> Call<'_, ServiceResponse>;
 }
--- a/crates/external/src/vm_list.rs
+++ b/crates/external/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving VMs, which lags behind.
+//! The platform's list of live and leaving VMs, which may be outdated.
 
 use std::net::SocketAddr;
 
@@ -7,22 +7,22 @@
 
 use crate::Call;
 
-/// A `ListedVm` is one VM as the list shows it.
+/// A `ListedVm` is one VM in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
     /// The VM.
     pub vm: VmName,
-    /// Its availability zone.
+    /// The availability zone of the VM.
     pub zone: ZoneName,
-    /// The service whose backend server it runs; none for an entry VM.
+    /// The service whose backend server runs on the VM; `None` for an entry VM.
     pub service: Option<ServiceName>,
-    /// Where its backend server listens.
+    /// The address that the backend server listens on.
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the VM is leaving.
     pub leaving: bool,
 }
 
-/// A `VmList` tells which VMs live; a dead one may still be shown and a new one not yet.
+/// A `VmList` lists the live VMs; it may still contain a dead one or not yet contain a new one.
 pub trait VmList: Send + Sync {
     /// Gets the list.
     fn list(&self) -> Call<'_, Vec<ListedVm>>;
--- a/crates/external/src/weights.rs
+++ b/crates/external/src/weights.rs
@@ -5,17 +5,17 @@
 
 use crate::Call;
 
-/// A `WeightGrant` is the leave to load weights at some rate.
+/// A `WeightGrant` is the permission to load weights at a certain time and rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightGrant {
-    /// The milliseconds until the load may start.
+    /// The time until the load may start, in milliseconds.
     pub wait_ms: u64,
-    /// The milliseconds that the load then takes.
+    /// The duration of the load, in milliseconds.
     pub load_ms: u64,
 }
 
-/// A `WeightStore` hands out model weights at a limited rate.
+/// A `WeightStore` serves model weights at a limited rate.
 pub trait WeightStore: Send + Sync {
-    /// Asks for a load of one version of a model.
+    /// Requests the load of one version of a model.
     fn fetch<'a>(&'a self, model: &'a ModelName, version: &'a str) -> Call<'a, WeightGrant>;
 }
--- a/crates/external/tests/slow_bodies.rs
+++ b/crates/external/tests/slow_bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies that arrive slowly, and those that do not arrive.
+//! Reading of bodies that arrive slowly or not completely.
 
 use std::time::Duration;
 
@@ -12,46 +12,46 @@
     BodyTimeouts { idle: Duration::from_secs(1), total: Duration::from_secs(10) };
 const CHUNK: usize = 1_000;
 
-// Chunks that come one after the other, each after so many milliseconds.
-fn chunks(count: usize, each_ms: u64) -> impl Stream<Item = Bytes> + Send + 'static {
+// Returns a stream of chunks, each `interval_ms` milliseconds after the previous one.
+fn chunks(count: usize, interval_ms: u64) -> impl Stream<Item = Bytes> + Send + 'static {
     stream::iter(0..count).then(move |_| async move {
-        sleep(Duration::from_millis(each_ms)).await;
+        sleep(Duration::from_millis(interval_ms)).await;
         Bytes::from(vec![0; CHUNK])
     })
 }
 
-fn endless(after: usize) -> Body {
-    streamed(chunks(after, 10).chain(stream::pending()))
+fn stalled(chunk_count: usize) -> Body {
+    streamed(chunks(chunk_count, 10).chain(stream::pending()))
 }
 
-async fn read(body: Body, limit: usize) -> (Result<usize, BodyError>, Duration) {
-    let began = Instant::now();
+async fn read_timed(body: Body, limit: usize) -> (Result<usize, BodyError>, Duration) {
+    let started = Instant::now();
     let read = read_with_timeouts(body, limit, TIMEOUTS).await;
-    (read.map(|read| read.len()), began.elapsed())
+    (read.map(|read| read.len()), started.elapsed())
 }
 
-// Guards against a large answer that is cut because its link is slow.
+// Guards against aborting a large response because its link is slow.
 #[tokio::test(start_paused = true)]
-async fn keeps_arriving() {
-    let (read, took) = read(streamed(chunks(10, 900)), 10 * CHUNK).await;
+async fn slow_link() {
+    let (read, took) = read_timed(streamed(chunks(10, 900)), 10 * CHUNK).await;
     assert_eq!(read, Ok(10 * CHUNK));
     assert!(Duration::from_secs(9) <= took, "{took:?}");
 }
 
-// Guards against waiting for ever on a connection that has gone silent, or that trickles.
+// Guards against waiting forever on a connection that is silent or very slow.
 #[rstest]
-#[case::silent(endless(3), Duration::from_millis(1_030))]
+#[case::silent(stalled(3), Duration::from_millis(1_030))]
 #[case::trickling(streamed(chunks(1_000, 900)), TIMEOUTS.total)]
 #[tokio::test(start_paused = true)]
-async fn given_up(#[case] body: Body, #[case] after: Duration) {
-    let (read, took) = read(body, 1_000 * CHUNK).await;
+async fn times_out(#[case] body: Body, #[case] after: Duration) {
+    let (read, took) = read_timed(body, 1_000 * CHUNK).await;
     assert_eq!(read, Err(BodyError::Timeout));
     assert!(after <= took && took <= after + Duration::from_millis(5), "{took:?}");
 }
 
-// Guards against an answer that fills the memory.
+// Guards against a response that exhausts the memory.
 #[tokio::test(start_paused = true)]
 async fn too_large() {
-    let (read, _) = read(streamed(chunks(4, 1)), 3 * CHUNK).await;
+    let (read, _) = read_timed(streamed(chunks(4, 1)), 3 * CHUNK).await;
     assert_eq!(read, Err(BodyError::TooLarge));
 }
