--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/check.rs
@@ -276,7 +276,7 @@
     }
 }
 
-// Returns the kind of section that defines names of a kind, which messages call by another word.
+// Maps the word for a kind in messages to the kind of its section in the INI text.
 fn section_of(kind: &str) -> &str {
     match kind {
         "availability zone" => "zone",
--- a/crates/core/src/config/ini.rs
+++ b/crates/core/src/config/ini.rs
@@ -90,7 +90,7 @@
     problems
 }
 
-/// Returns the deployment that an INI text describes, after validation of the whole.
+/// Returns the deployment that an INI text describes, validated as a whole.
 ///
 /// The error holds all problems, ordered by line.
 pub fn parse_deployment(file: &str, text: &str) -> Result<Deployment> {
--- a/crates/core/src/config/key_hash.rs
+++ b/crates/core/src/config/key_hash.rs
@@ -25,7 +25,7 @@
 
     /// Returns whether both are hashes of the same key.
     ///
-    /// The comparison takes constant time. One that stops index the first differing byte takes longer
+    /// The comparison takes constant time. One that stops at the first differing byte takes longer
     /// the more bytes match, so that a caller could learn the hash from response times.
     pub fn matches(&self, other: &KeyHash) -> bool {
         self.0.ct_eq(&other.0).into()
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -13,10 +13,10 @@
 pub enum RouteKind {
     /// Running a request again changes nothing.
     Idempotent,
-    /// A request may run offset most once.
+    /// A request may run at most once.
     #[default]
     AtMostOnce,
-    /// The response is a stream of events, and a request may run offset most once.
+    /// The response is a stream of events, and a request may run at most once.
     Stream,
     /// The response is a stream of events that can be resumed after the last received one.
     ResumableStream,
--- a/crates/external/src/engine.rs
+++ b/crates/external/src/engine.rs
@@ -85,7 +85,7 @@
     pub role: EngineRole,
 }
 
-/// An `EngineRole` is the phase of requests that an engine runs.
+/// An `EngineRole` states which phases of requests an engine runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EngineRole {
--- a/crates/external/src/errors.rs
+++ b/crates/external/src/errors.rs
@@ -33,7 +33,7 @@
     },
     /// The response is larger than the limit of this node.
     TooLarge,
-    /// The request or response could not be encoded or decoded.
+    /// The request could not be encoded, or the response could not be decoded.
     Malformed,
     /// The caller's own budget for such calls is exhausted.
     Budget,
--- a/crates/external/src/http/endpoint.rs
+++ b/crates/external/src/http/endpoint.rs
@@ -35,7 +35,7 @@
     pub vm: VmName,
 }
 
-/// `EndpointOptions` are the limits and the security of connections to one server.
+/// `EndpointOptions` are the limits and TLS settings of the connections to one server.
 #[derive(Clone, Debug)]
 pub struct EndpointOptions {
     /// The time limit for opening a connection.
--- a/crates/external/src/http/server.rs
+++ b/crates/external/src/http/server.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// `ServerOptions` are the limits and the security of the connections of one port.
+/// `ServerOptions` are the limits and TLS settings of the connections of one port.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
     /// The time limit for the headers of a request.
--- a/crates/external/src/kv.rs
+++ b/crates/external/src/kv.rs
@@ -10,8 +10,8 @@
 /// The maximum size of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// A `Version` is the version of a key: 0 while the key is absent, else a number that increases
-/// with each write to any key of the service.
+/// A `Version` is 0 for an absent key, else a number that increases with each write to any key of
+/// the service.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
