--- a/crates/gateway/src/knowledge/hear.rs
+++ b/crates/gateway/src/cluster/hear.rs
@@ -2,15 +2,15 @@
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use bulrushhall_coord::{NewsScope, Role, SourceChoice, usage::UsageOf};
+use bulrushhall_coord::{Role, SourceChoice, UpdateScope, usage::UsageScope};
 use bulrushhall_core::{Event, Incarnation, Stamp, TeamName, ZoneName};
-use bulrushhall_policy::quota::QuotaTold;
+use bulrushhall_policy::quota::QuotaReport;
 
 use crate::{
     backends::RecordNews,
     clock,
+    cluster::{BackendLoad, Digest, DigestScope, HeardLife, MemberNews, RecordsKnown, as_millis},
     gateway::{Gateway, State},
-    knowledge::{BackendLoad, Digest, HeardLife, MemberNews, RecordsKnown, Told, as_millis},
     meters,
     table::RouteTable,
 };
@@ -62,7 +62,7 @@
             return None;
         }
         member.note_message(now, told.ready);
-        member.day_ahead = Some(told.day_ms as i64 - as_millis(gateway.own_day()) as i64);
+        member.day_ahead = Some(told.wall_clock_ms as i64 - as_millis(gateway.own_day()) as i64);
         let address = member.record.peers;
         let zone = member.record.zone.clone();
         // Only who has the same configuration tells something about the age of this node's, and
@@ -79,7 +79,7 @@
         let revision = told.revision;
         let hearing = Hearing { gateway, now, zone, table: table.as_deref() };
         hearing.take(state, told);
-        state.catch_up.hear(now, own, revision);
+        state.catch_up.observe(now, own, revision);
         let patience = document.map_or(Duration::ZERO, patience);
         let patience = if state.config_lost { Duration::ZERO } else { patience };
         let is_due = state.catch_up.begin(now, own, revision, patience);
@@ -99,9 +99,9 @@
 impl Hearing<'_> {
     fn take(&self, state: &mut State, mut told: Digest) {
         for (service, pace) in &told.paces {
-            state.observed(service).engines.hear(*pace);
+            state.observed(service).engines.receive(*pace);
         }
-        if told.told == Told::Nothing {
+        if told.scope == DigestScope::Nothing {
             return;
         }
         self.take_usage(state, &told);
@@ -117,7 +117,7 @@
             member.offered = told.offered.iter().cloned().collect();
         }
         drop_loads(state, told.incarnation);
-        let is_sum = told.told != Told::Own;
+        let is_sum = told.scope != DigestScope::Own;
         for load in told.loads {
             self.take_load(state, told.incarnation, is_sum, load);
         }
@@ -126,24 +126,24 @@
     // Whether what is told of requests is taken in: each request must count once.
     fn is_source(&self, state: &mut State, told: &Digest) -> bool {
         let is_near = self.zone == self.gateway.settings.gateway.zone;
-        let scope = match (told.told, state.relays.role) {
-            (Told::Own, Role::Flat) => return true,
-            (Told::Own, Role::Relay) => return is_near,
-            (Told::Zone, Role::Relay) if !is_near => NewsScope::Zone(self.zone.clone()),
-            (Told::Others, Role::Flat | Role::Member) => NewsScope::Others,
+        let scope = match (told.scope, state.relays.role) {
+            (DigestScope::Own, Role::Flat) => return true,
+            (DigestScope::Own, Role::Relay) => return is_near,
+            (DigestScope::Zone, Role::Relay) if !is_near => UpdateScope::Zone(self.zone.clone()),
+            (DigestScope::Others, Role::Flat | Role::Member) => UpdateScope::Others,
             _ => return false,
         };
         match state.sources.offer(self.now, scope, told.incarnation, told.nodes) {
             SourceChoice::Ignored => false,
-            SourceChoice::Taken { before } => {
-                if let Some(before) = before {
+            SourceChoice::Accepted { previous } => {
+                if let Some(previous) = previous {
                     tracing::info!(
                         event = Event::SourceChanged.number(),
                         node = %told.node,
                         nodes = told.nodes,
-                        before = before.0
+                        before = previous.0
                     );
-                    drop_source(state, before);
+                    drop_source(state, previous);
                 }
                 true
             }
@@ -160,7 +160,7 @@
             return;
         }
         // An answer may come late; what it tells may be older than what is known.
-        let fits = match state.records_fed(self.now) {
+        let fits = match state.relay_cursor(self.now) {
             None => backends.after == 0 && members.after == 0,
             Some(known) => {
                 let goes_on = |after, known, at| after <= known && known <= at;
@@ -181,11 +181,11 @@
     }
 
     fn take_usage(&self, state: &mut State, told: &Digest) {
-        let of = match told.told {
-            Told::Own => UsageOf::Life(told.incarnation, &self.zone),
-            Told::Zone => UsageOf::Zone(&self.zone),
-            Told::Others => UsageOf::Others,
-            Told::Nothing => return,
+        let of = match told.scope {
+            DigestScope::Own => UsageScope::Incarnation(told.incarnation, &self.zone),
+            DigestScope::Zone => UsageScope::Zone(&self.zone),
+            DigestScope::Others => UsageScope::Others,
+            DigestScope::Nothing => return,
         };
         for (window, counts) in &told.usage {
             state.usage.merge(*window, of, counts);
@@ -206,11 +206,11 @@
             told.asked.iter().map(|(team, asked)| (team, *asked)).collect();
         for (team, total) in &told.quotas {
             let asked = asked.get(team).copied().unwrap_or(0.0);
-            let quota_told = QuotaTold { total: *total, asked };
+            let quota_told = QuotaReport { total: *total, demand: asked };
             let quota = state.quota(team);
-            match told.told {
-                Told::Own => quota.hear(self.now, told.incarnation, quota_told),
-                _ => quota.hear_sum(self.now, told.incarnation, quota_told, told.nodes),
+            match told.scope {
+                DigestScope::Own => quota.receive(self.now, told.incarnation, quota_told),
+                _ => quota.receive_sum(self.now, told.incarnation, quota_told, told.nodes),
             }
         }
     }
