--- a/crates/coord/src/attempts.rs
+++ b/crates/coord/src/attempts.rs
@@ -1,35 +1,37 @@
-//! Whether a call was run, derived from what was written to whom.
+//! Whether a call was run, derived from the outcomes of its attempts.
 
 use bulrushhall_core::Ran;
 
-/// `Attempts` are all tries of one call; what a caller is told of them is derived here alone.
+/// `Attempts` are all attempts of one call; the outcome that its caller receives is derived from
+/// them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Attempts {
+    /// The outcome over all attempts that have ended.
     ended: Ran,
-    open: bool,
+    is_open: bool,
 }
 
 impl Attempts {
-    /// Notes that a try begins; until it has ended, nobody knows whether the call ran.
+    /// Records that an attempt begins; until it has ended, it is unknown whether the call ran.
     pub fn begin(&mut self) {
-        self.open = true;
+        self.is_open = true;
     }
 
-    /// Notes how a try ended.
+    /// Records how an attempt ended.
     pub fn end(&mut self, ran: Ran) {
-        self.open = false;
+        self.is_open = false;
         self.ended = self.ended.and(ran);
     }
 
-    /// Returns what holds over all tries.
+    /// Returns whether the call ran, over all attempts.
     pub fn ran(&self) -> Ran {
-        match self.open {
+        match self.is_open {
             true => self.ended.and(Ran::Unknown),
             false => self.ended,
         }
     }
 
-    /// Returns whether a call that may run at most once may be tried again.
+    /// Returns whether a call that may run at most once may be retried.
     pub fn may_retry(&self) -> bool {
         self.ran() == Ran::No
     }
--- a/crates/coord/src/budget.rs
+++ b/crates/coord/src/budget.rs
@@ -1,10 +1,10 @@
-//! Budgets of calls to the key-value service, one for each duty, with counts of how they ended.
+//! Budgets of calls to the key-value service, one for each purpose, with counts of their outcomes.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use bulrushhall_core::{Ran, Stamp};
 
-/// A `Purpose` is what a call to the key-value service is made for.
+/// A `Purpose` is the reason for a call to the key-value service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Purpose {
     /// Following the configuration.
@@ -19,33 +19,33 @@
     Records,
 }
 
-/// A `Rate` is how many calls a purpose may make.
+/// A `Rate` limits the calls for one purpose.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// The calls of a second, over a longer time.
+    /// The sustained calls per second.
     pub per_second: f64,
-    /// The calls that may be made at once.
+    /// The calls that may be made in a burst.
     pub burst: f64,
 }
 
-/// `Outcomes` count how calls ended.
+/// `Outcomes` count calls by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcomes {
     /// Calls that took effect.
     pub done: u64,
     /// Calls that certainly took no effect.
     pub not_done: u64,
-    /// Calls that may or may not take effect.
+    /// Calls that may or may not have taken effect.
     pub unknown: u64,
-    /// Calls that were not made because the budget was spent.
+    /// Calls that were not made because the budget was exhausted.
     pub held_back: u64,
 }
 
-/// A `CallBudget` limits and counts one node's calls to the key-value service.
+/// A `CallBudget` limits and counts one node's calls to the key-value service by token buckets.
 ///
-/// The service's rates grow more slowly than the fleet. A fault that makes one part of a node
-/// call in a loop, or all nodes after an outage, would take the service from everyone else; with
-/// a budget of its own each part can only starve itself.
+/// The capacity of the service grows more slowly than the fleet. Without limits, a fault that makes
+/// one component of a node call in a loop, or all nodes calling at once after an outage, would
+/// starve all other callers; with a budget for each purpose a component can only starve itself.
 #[derive(Debug)]
 pub struct CallBudget {
     buckets: BTreeMap<Purpose, Bucket>,
@@ -55,7 +55,7 @@
 struct Bucket {
     rate: Rate,
     tokens: f64,
-    filled: Stamp,
+    last_refill: Stamp,
     outcomes: Outcomes,
 }
 
@@ -64,7 +64,7 @@
     pub const ALL: [Purpose; 5] =
         [Purpose::Config, Purpose::Lease, Purpose::Claim, Purpose::Fleet, Purpose::Records];
 
-    /// Returns the word that labels metrics.
+    /// Returns the label of this purpose in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Purpose::Config => "config",
@@ -75,22 +75,22 @@
         }
     }
 
-    /// Returns the calls that one node may make for this purpose.
+    /// Returns the rate of calls that one node may make for this purpose.
     pub fn rate(self) -> Rate {
         match self {
             Purpose::Config => Rate { per_second: 2.0, burst: 6.0 },
             Purpose::Lease => Rate { per_second: 4.0, burst: 12.0 },
             Purpose::Claim => Rate { per_second: 100.0, burst: 200.0 },
             Purpose::Fleet => Rate { per_second: 2.0, burst: 10.0 },
-            // A change waits at most 0.4 s for others, a fifth of the time in which leaving servers must
-            // be known; single changes don't wait.
+            // A change waits at most 0.4 s for the budget, a fifth of the time within which leaving
+            // servers must be known; single changes don't wait.
             Purpose::Records => Rate { per_second: 2.5, burst: 4.0 },
         }
     }
 }
 
 impl CallBudget {
-    /// Returns full budgets with the usual rates.
+    /// Returns full budgets with the default rates.
     pub fn new(now: Stamp) -> CallBudget {
         CallBudget::with_rates(now, Purpose::ALL.map(|purpose| (purpose, purpose.rate())))
     }
@@ -100,17 +100,18 @@
         let mut buckets = BTreeMap::new();
         for (purpose, rate) in rates {
             let outcomes = Outcomes::default();
-            buckets.insert(purpose, Bucket { rate, tokens: rate.burst, filled: now, outcomes });
+            buckets
+                .insert(purpose, Bucket { rate, tokens: rate.burst, last_refill: now, outcomes });
         }
         CallBudget { buckets }
     }
 
-    /// Takes leave for one call; the error tells when to ask again.
+    /// Takes a token for one call; the error is the time at which a token will be available.
     pub fn take(&mut self, now: Stamp, purpose: Purpose) -> Result<(), Stamp> {
         let Some(bucket) = self.buckets.get_mut(&purpose) else { return Ok(()) };
-        let passed = now.since(bucket.filled).as_secs_f64();
-        bucket.tokens = (bucket.tokens + passed * bucket.rate.per_second).min(bucket.rate.burst);
-        bucket.filled = now;
+        let elapsed = now.since(bucket.last_refill).as_secs_f64();
+        bucket.tokens = (bucket.tokens + elapsed * bucket.rate.per_second).min(bucket.rate.burst);
+        bucket.last_refill = now;
         if 1.0 <= bucket.tokens {
             bucket.tokens -= 1.0;
             return Ok(());
@@ -120,7 +121,7 @@
         Err(now + Duration::from_secs_f64(missing))
     }
 
-    /// Notes how a call ended.
+    /// Records the outcome of a call.
     pub fn note(&mut self, purpose: Purpose, ran: Ran) {
         let Some(bucket) = self.buckets.get_mut(&purpose) else { return };
         match ran {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Returns how the calls for a purpose ended.
+    /// Returns the outcomes of the calls for a purpose.
     pub fn outcomes(&self, purpose: Purpose) -> Outcomes {
         self.buckets.get(&purpose).map(|bucket| bucket.outcomes).unwrap_or_default()
     }
--- a/crates/coord/src/catch_up.rs
+++ b/crates/coord/src/catch_up.rs
@@ -1,4 +1,4 @@
-//! When a node that is behind reads the configuration from another node.
+//! When a node with an older configuration reads a newer one from another node.
 
 use std::{
     collections::BTreeMap,
@@ -8,42 +8,43 @@
 
 use bulrushhall_core::{Revision, Stamp};
 
-/// A `CatchUp` knows which newer revisions other nodes told of, and lets one of them be read at a time.
+/// A `CatchUp` tracks the newer revisions that other nodes report, and allows one read at a time.
 ///
-/// Where each node that is ahead is asked at once, and again with the next exchange, a large configuration
-/// fills the link of a node that is behind, and none of the answers arrives.
+/// If a node that is behind requested a large configuration from every node that is ahead, and
+/// again after each exchange, the replies would saturate its link and none would arrive in time.
 #[derive(Clone, Debug, Default)]
 pub struct CatchUp {
-    first_heard: BTreeMap<Revision, Stamp>,
+    first_reported: BTreeMap<Revision, Stamp>,
     is_reading: bool,
 }
 
 impl CatchUp {
-    /// Notes that another node has `revision` in force, while this one has `own`.
+    /// Records that another node has `revision` in force, while this one has `own`.
     pub fn observe(&mut self, now: Stamp, own: Revision, revision: Revision) {
-        self.first_heard.retain(|heard, _| own < *heard);
+        self.first_reported.retain(|reported, _| own < *reported);
         if own < revision {
-            self.first_heard.entry(revision).or_insert(now);
+            self.first_reported.entry(revision).or_insert(now);
         }
     }
 
-    /// Returns since when a revision above `own` is known of.
+    /// Returns since when a revision above `own` has been known.
     pub fn behind_since(&self, own: Revision) -> Option<Stamp> {
-        self.first_heard.range((Excluded(own), Unbounded)).map(|(_, at)| *at).min()
+        self.first_reported.range((Excluded(own), Unbounded)).map(|(_, at)| *at).min()
     }
 
-    /// Returns whether `revision` is to be read from another node now; [`CatchUp::end`] has to follow.
+    /// Returns whether to read `revision` from another node now; [`CatchUp::end`] has to follow if
+    /// so.
     ///
-    /// The key-value service has `patience` to bring it.
+    /// The key-value service gets the time `service_timeout` to deliver the revision first.
     pub fn begin(
         &mut self,
         now: Stamp,
         own: Revision,
         revision: Revision,
-        patience: Duration,
+        service_timeout: Duration,
     ) -> bool {
-        let heard = self.first_heard.get(&revision).filter(|_| own < revision);
-        let is_due = heard.is_some_and(|at| patience <= now.since(*at));
+        let reported_at = self.first_reported.get(&revision).filter(|_| own < revision);
+        let is_due = reported_at.is_some_and(|at| service_timeout <= now.since(*at));
         if !is_due || self.is_reading {
             return false;
         }
@@ -51,7 +52,7 @@
         true
     }
 
-    /// Notes that the reading has ended, whichever way.
+    /// Records that the read has ended, successfully or not.
     pub fn end(&mut self) {
         self.is_reading = false;
     }
--- a/crates/coord/src/chain.rs
+++ b/crates/coord/src/chain.rs
@@ -1,7 +1,7 @@
-//! The configuration chain: revision after revision, each added by one compare-and-swap.
+//! The configuration chain: a sequence of revisions, each added by one compare-and-swap.
 //!
-//! One key holds the newest revision with its whole text, so a reader needs a single call. Before
-//! a writer replaces it, it copies it to a key of its own, which keeps the history without gaps.
+//! One key holds the newest revision with its whole text, so a reader needs a single call. Before a
+//! writer replaces it, it copies it to a key for that revision, so that the history has no gaps.
 
 use std::{error, fmt, time::Duration};
 
@@ -16,12 +16,12 @@
 /// The prefix of the keys of earlier revisions.
 pub const HISTORY_PREFIX: &str = "config/r/";
 
-/// The pause after the first failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause between two calls.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
-/// The failed calls after which a change that certainly wrote nothing is given up.
-const ATTEMPTS: u32 = 5;
+/// The base of the delay after failed calls, which doubles with each of them.
+const BASE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The maximum delay between two calls.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
+/// The consecutive failed calls after which a change that certainly wrote nothing is abandoned.
+const MAX_FAILURES: u32 = 5;
 
 /// Returns the key of an earlier revision.
 pub fn history_key(revision: Revision) -> String {
@@ -31,15 +31,15 @@
 /// A `ChainCall` is a call to the key-value service that a [`ChainWriter`] asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChainCall {
-    /// Gets the newest revision.
+    /// Reads the newest revision.
     Read,
-    /// Writes the copy of an earlier revision where it is absent.
+    /// Writes the copy of an earlier revision if it is absent.
     Archive(Revision, Bytes),
-    /// Replaces the newest revision where its key has this version.
+    /// Replaces the newest revision if its key has this version.
     Swap(u64, Bytes),
 }
 
-/// A `ChainReply` tells how a [`ChainCall`] ended.
+/// A `ChainReply` is the outcome of a [`ChainCall`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChainReply {
     /// The newest revision's key has this version and value.
@@ -48,25 +48,26 @@
     Written,
     /// The key had another version; it has this version and value now.
     Conflict(u64, Bytes),
-    /// The call failed, and may or may not take effect.
+    /// The call failed; whether it took effect is given.
     Failed(Ran),
 }
 
-/// A `ChainStep` is what a [`ChainWriter`] wants next.
+/// A `ChainStep` is what the caller of a [`ChainWriter`] has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChainStep {
-    /// Wait, then make the call.
+    /// Wait for this time, then make the call.
     Call(Duration, ChainCall),
-    /// The change is accepted under this revision, for certain.
+    /// The change is certainly accepted, as this revision.
     Accepted(Revision),
-    /// The change is not accepted and never will be.
+    /// The change is not accepted and never will be; with [`ChainRefusal::Forgotten`] the outcome
+    /// is unknown.
     Refused(ChainRefusal),
 }
 
-/// A `ChainRefusal` tells why a change was not accepted.
+/// A `ChainRefusal` is the reason why a change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChainRefusal {
-    /// Another revision than the expected one is the newest.
+    /// The newest revision is not the expected one.
     Conflict {
         /// The revision that the change was based on.
         expected: Revision,
@@ -79,40 +80,42 @@
     TooLong {
         /// The length of the text, in bytes.
         bytes: usize,
-        /// The longest text, in bytes.
+        /// The maximum length, in bytes.
         limit: usize,
     },
-    /// What the key-value service holds is no configuration.
+    /// The value in the key-value service is not a configuration.
     Malformed(HeadError),
-    /// The key-value service can't be reached; nothing was written.
+    /// The key-value service is unreachable; nothing was written.
     Unreachable,
-    /// The outcome was lost and so many later revisions were added that it can't be looked up.
+    /// The reply was lost, and so many revisions were added since that the outcome can't be found.
     Forgotten {
         /// The newest revision.
         found: Revision,
     },
 }
 
-/// A `ChainWriter` adds one revision and finds out for certain whether it was accepted.
+/// A `ChainWriter` adds one revision and determines for certain whether it was accepted.
 ///
 /// A write whose reply is lost may take effect at any later time, so reading the key proves
-/// nothing. The writer repeats the very same compare-and-swap: it takes effect once at most, since
-/// the first to land changes the version that both expect. A conflict then shows that neither can
-/// land any more, and the nonces in the value tell whether one of them did.
+/// nothing. The writer repeats the same compare-and-swap: it takes effect at most once, since the
+/// first to be applied changes the version that both expect. A conflict then proves that neither
+/// can be applied later, and the nonces in the value tell whether one of them was.
 #[derive(Debug)]
 pub struct ChainWriter {
     expected: Option<Revision>,
     nonce: u64,
     text: String,
     state: State,
+    /// The number of consecutive failed calls.
     failures: u32,
-    unknown: bool,
+    /// Whether a write may take effect although its reply is missing.
+    may_take_effect: bool,
 }
 
 #[derive(Clone, Debug)]
 enum State {
     Reading,
-    Keeping(u64, Head),
+    Archiving(u64, Head),
     Swapping(u64, Head),
 }
 
@@ -121,7 +124,7 @@
     pub fn new(expected: Option<Revision>, text: impl Into<String>, nonce: u64) -> ChainWriter {
         let text = text.into();
         let state = State::Reading;
-        ChainWriter { expected, nonce, text, state, failures: 0, unknown: false }
+        ChainWriter { expected, nonce, text, state, failures: 0, may_take_effect: false }
     }
 
     /// Returns the first step.
@@ -134,18 +137,20 @@
 
     /// Returns whether a write may take effect although its reply is missing.
     pub fn is_unsettled(&self) -> bool {
-        self.unknown
+        self.may_take_effect
     }
 
-    /// Takes the reply to the last call and returns the next step.
+    /// Handles the reply to the last call and returns the next step.
     pub fn reply(&mut self, reply: ChainReply, random: &mut dyn Rng) -> ChainStep {
         match (self.state.clone(), reply) {
-            (_, ChainReply::Failed(ran)) => self.failed(ran, random),
+            (_, ChainReply::Failed(ran)) => self.retry(ran, random),
             (State::Reading, ChainReply::Found(version, value)) => self.read(version, &value),
-            (State::Keeping(version, head), _) => self.swap(version, head),
+            (State::Archiving(version, head), _) => self.swap(version, head),
             (State::Swapping(_, next), ChainReply::Written) => ChainStep::Accepted(next.revision),
-            (State::Swapping(_, next), ChainReply::Conflict(_, value)) => self.settle(next, &value),
-            (State::Swapping(..) | State::Reading, _) => self.failed(Ran::Unknown, random),
+            (State::Swapping(_, next), ChainReply::Conflict(_, value)) => {
+                self.resolve(next, &value)
+            }
+            (State::Swapping(..) | State::Reading, _) => self.retry(Ran::Unknown, random),
         }
     }
 
@@ -162,7 +167,7 @@
         if head.revision == Revision(0) {
             return self.swap(version, head);
         }
-        self.state = State::Keeping(version, head);
+        self.state = State::Archiving(version, head);
         ChainStep::Call(Duration::ZERO, self.call())
     }
 
@@ -172,14 +177,14 @@
         ChainStep::Call(Duration::ZERO, self.call())
     }
 
-    fn settle(&self, ours: Head, value: &[u8]) -> ChainStep {
+    fn resolve(&self, ours: Head, value: &[u8]) -> ChainStep {
         let found = match Head::decode(value) {
             Ok(found) => found,
             Err(error) => return ChainStep::Refused(ChainRefusal::Malformed(error)),
         };
         match found.nonce_of(ours.revision) {
             Some(nonce) if nonce == self.nonce => ChainStep::Accepted(ours.revision),
-            None if ours.revision <= found.revision && self.unknown => {
+            None if ours.revision <= found.revision && self.may_take_effect => {
                 ChainStep::Refused(ChainRefusal::Forgotten { found: found.revision })
             }
             _ => {
@@ -189,20 +194,20 @@
         }
     }
 
-    fn failed(&mut self, ran: Ran, random: &mut dyn Rng) -> ChainStep {
+    fn retry(&mut self, ran: Ran, random: &mut dyn Rng) -> ChainStep {
         self.failures += 1;
-        let may_have_run = ran != Ran::No && matches!(self.state, State::Swapping(..));
-        self.unknown |= may_have_run;
-        if !self.unknown && ATTEMPTS <= self.failures {
+        let may_have_written = ran != Ran::No && matches!(self.state, State::Swapping(..));
+        self.may_take_effect |= may_have_written;
+        if !self.may_take_effect && MAX_FAILURES <= self.failures {
             return ChainStep::Refused(ChainRefusal::Unreachable);
         }
-        ChainStep::Call(pause(self.failures, random), self.call())
+        ChainStep::Call(retry_delay(self.failures, random), self.call())
     }
 
     fn call(&self) -> ChainCall {
         match &self.state {
             State::Reading => ChainCall::Read,
-            State::Keeping(_, head) => ChainCall::Archive(head.revision, head.encode()),
+            State::Archiving(_, head) => ChainCall::Archive(head.revision, head.encode()),
             State::Swapping(version, next) => ChainCall::Swap(*version, next.encode()),
         }
     }
@@ -215,7 +220,7 @@
                 write!(f, "revision {found} is the newest, but the change is based on {expected}")
             }
             ChainRefusal::TooLong { bytes, limit } => {
-                write!(f, "the text has {bytes} bytes, {limit} are the most")
+                write!(f, "the text has {bytes} bytes; the maximum is {limit}")
             }
             ChainRefusal::Malformed(error) => {
                 write!(f, "the newest revision can't be read: {error}")
@@ -238,8 +243,9 @@
     ChainRefusal::Conflict { expected, found: found.revision, text: found.text }
 }
 
-// Many tools and nodes may wait for one service: jitter keeps their calls apart once it is back.
-fn pause(failures: u32, random: &mut dyn Rng) -> Duration {
-    let full = FIRST_PAUSE.saturating_mul(1 << failures.min(8)).min(LONGEST_PAUSE);
+// Many tools and nodes may wait for the service; jitter spreads their calls once it is available
+// again.
+fn retry_delay(failures: u32, random: &mut dyn Rng) -> Duration {
+    let full = BASE_RETRY_DELAY.saturating_mul(1 << failures.min(8)).min(MAX_RETRY_DELAY);
     full.mul_f64(random.random_range(0.5..1.0))
 }
--- a/crates/coord/src/claims/mod.rs
+++ b/crates/coord/src/claims/mod.rs
@@ -1,4 +1,5 @@
-//! Which life of a node is the home of an idempotency key, agreed in the key-value service.
+//! Agreement through the key-value service on the home of each idempotency key: the incarnation of
+//! a node that alone may run the key's call.
 
 mod machine;
 mod options;
--- a/crates/coord/src/claims/record.rs
+++ b/crates/coord/src/claims/record.rs
@@ -1,4 +1,4 @@
-//! The record of one shard: which key has which home.
+//! The record of one shard: the homes of its keys.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// The bytes of one claim in a record.
+/// The size of one claim in a record, in bytes.
 const CLAIM_BYTES: usize = 32;
 
-/// A `KeyHash` stands for a team's idempotency key.
+/// A `KeyHash` is the hash of a team and its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyHash(pub u128);
 
-/// A `Home` is the life of a node that alone may run a key's call.
+/// A `Home` is the incarnation of a node that alone may run a key's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Home {
     pub(super) incarnation: Incarnation,
-    /// When the claim was made, in milliseconds since 1970.
-    pub(super) at: u64,
+    /// When the key was claimed, in milliseconds since 1970.
+    pub(super) claimed_at: u64,
 }
 
 /// A `Record` holds the homes of one shard's keys.
@@ -39,12 +39,12 @@
     for (key, home) in record {
         buf.put_u128(key.0);
         buf.put_u64(home.incarnation.0);
-        buf.put_u64(home.at);
+        buf.put_u64(home.claimed_at);
     }
     buf.freeze()
 }
 
-/// Returns the record that `bytes` hold; none where they were not written by [`encode`].
+/// Returns the record that `bytes` hold; none if they were not written by [`encode`].
 pub(super) fn decode(mut bytes: Bytes) -> Option<Record> {
     if !bytes.len().is_multiple_of(CLAIM_BYTES) {
         return None;
@@ -53,7 +53,7 @@
     while bytes.has_remaining() {
         let key = KeyHash(bytes.get_u128());
         let incarnation = Incarnation(bytes.get_u64());
-        record.insert(key, Home { incarnation, at: bytes.get_u64() });
+        record.insert(key, Home { incarnation, claimed_at: bytes.get_u64() });
     }
     Some(record)
 }
--- a/crates/coord/src/entries.rs
+++ b/crates/coord/src/entries.rs
@@ -1,53 +1,53 @@
-//! Which addresses a caller is told to use, and in which order.
+//! The nodes whose addresses a caller receives, and their order.
 
 use bulrushhall_core::{Incarnation, ZoneName};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The addresses that a caller is told at most.
+/// The upper bound of the addresses that a caller receives.
 pub const MAX_ADDRESSES: usize = 4;
 
-/// A `Candidate` is a node that callers may be sent to.
+/// A `Candidate` is a node whose address callers may receive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Its free capacity in relation to the other candidates'.
+    /// Its free capacity relative to the other candidates'.
     pub capacity: u32,
-    /// Whether it has not been heard of for a while.
+    /// Whether its heartbeats have been missing for longer than the suspicion timeout.
     pub suspected: bool,
 }
 
-/// A `Headroom` is a node's free capacity in few levels.
+/// A `Headroom` is a node's free capacity in a few levels.
 ///
-/// Each change of level reaches all nodes and moves some callers to other addresses, so there are
-/// few levels, and one is left only when the load is well past its limit.
+/// Each change of the level is sent to all nodes and moves some callers to other addresses, so
+/// there are few levels, with hysteresis between them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Headroom {
     level: usize,
 }
 
-/// The upper limit of the load of each level and the weight that the level gives.
+/// The upper limit of the load and the weight of each level.
 const LEVELS: [(f64, u32); 4] = [(0.35, 8), (0.6, 5), (0.85, 2), (f64::INFINITY, 1)];
-/// How far the load must be below a level's limit before the level is taken again.
+/// How far the load must be below a level's limit before that level applies again.
 const HYSTERESIS: f64 = 0.08;
 
-/// Returns the candidates that a caller is told, best first, over two zones when there are two.
+/// Returns up to `count` candidates for a caller, best first, from two zones if there are two.
 ///
 /// Weighted rendezvous hashing gives each caller an order of its own: a caller keeps its first
-/// address while that lives, which keeps its prefixes cached, and the callers of a node that
-/// leaves go to many others and not to one.
+/// address while that node is alive, which keeps its prefixes cached, and the callers of a node
+/// that leaves are spread over many others.
 pub fn order(caller: u64, candidates: &[Candidate], count: usize) -> Vec<&Candidate> {
     let mut ranked: Vec<&Candidate> = candidates.iter().collect();
     ranked.sort_by(|a, b| {
         let by_score = score(caller, b).total_cmp(&score(caller, a));
         a.suspected.cmp(&b.suspected).then(by_score).then(a.incarnation.cmp(&b.incarnation))
     });
-    // The second address lies in another zone: a reclaim takes a zone at once, and a caller whose
-    // first two addresses went with it would lose time on both.
-    let elsewhere = ranked.iter().skip(1).position(|other| other.zone != ranked[0].zone);
-    if let Some(at) = elsewhere {
+    // The second address is in another zone: VMs of a zone are reclaimed together, and a caller
+    // that loses its first two addresses that way would have to time out on both.
+    let other_zone = ranked.iter().skip(1).position(|other| other.zone != ranked[0].zone);
+    if let Some(at) = other_zone {
         let other = ranked.remove(at + 1);
         ranked.insert(1, other);
     }
@@ -56,7 +56,7 @@
 }
 
 impl Headroom {
-    /// Takes the node's load, 1 being all that it can carry; returns its weight.
+    /// Updates the level by the node's load, where 1 is its full capacity; returns the weight.
     pub fn weigh(&mut self, load: f64) -> u32 {
         while LEVELS[self.level].0 <= load {
             self.level += 1;
@@ -68,8 +68,8 @@
     }
 }
 
-// The score of weighted rendezvous hashing: with it a node gets callers in proportion to its
-// capacity, and a change of one node's capacity moves callers to or from that node alone.
+// Returns the score of weighted rendezvous hashing: a node gets callers in proportion to its
+// capacity, and a change of one node's capacity moves callers only to or from that node.
 fn score(caller: u64, candidate: &Candidate) -> f64 {
     let hash = xxh3_64_with_seed(&candidate.incarnation.0.to_le_bytes(), caller);
     let uniform = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
--- a/crates/coord/src/freshness.rs
+++ b/crates/coord/src/freshness.rs
@@ -1,26 +1,26 @@
-//! Up to which moment a node knows that what it acts on was the newest.
+//! How long ago the configuration of a node was known to be the newest.
 
 use std::time::Duration;
 
 use bulrushhall_core::Stamp;
 
-/// A `Freshness` is the latest moment at which a configuration is known to have been the newest.
+/// A `Freshness` is the latest time at which the configuration is known to have been the newest.
 ///
-/// A node that lost the key-value service goes on with what it has, and cannot see that a key was
-/// taken away meanwhile. A caller would notice nothing; the owner of the key would find it still
-/// taken. The age of this moment bounds for how long that can be.
+/// A node that has lost the key-value service continues with the configuration that it has and does
+/// not see that an API key has been revoked since: the key would still be accepted. The age of this
+/// time bounds how long that can last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Freshness {
     newest_at: Option<Stamp>,
 }
 
 impl Freshness {
-    /// Notes that the configuration was the newest at `moment`; earlier moments change nothing.
+    /// Records that the configuration was the newest at `moment`; earlier times change nothing.
     pub fn note(&mut self, moment: Stamp) {
         self.newest_at = self.newest_at.max(Some(moment));
     }
 
-    /// Returns how long ago that was; none before it was ever known.
+    /// Returns how long ago the configuration was known to be the newest; none if it never was.
     pub fn age(&self, now: Stamp) -> Option<Duration> {
         self.newest_at.map(|newest_at| now.since(newest_at))
     }
--- a/crates/coord/src/gossip.rs
+++ b/crates/coord/src/gossip.rs
@@ -1,26 +1,26 @@
-//! What nodes tell each other about members.
+//! The gossip that nodes exchange about members.
 
 use bulrushhall_core::{Incarnation, NodeName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// A `Condition` is how a life of a node stands; it never goes back.
+/// A `Condition` is the state of an incarnation of a node; it only advances.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Condition {
-    /// It takes new work.
+    /// It accepts new work.
     #[default]
     #[serde(rename = "a")]
     Alive,
-    /// It takes no new work any more, for the rest of this life.
+    /// It accepts no new work for the rest of this incarnation.
     #[serde(rename = "l")]
     Leaving,
-    /// Others have heard nothing of it for long; a heartbeat with a newer record corrects them.
+    /// It was removed after the heartbeat timeout; a heartbeat with a newer record refutes that.
     #[serde(rename = "g")]
-    Gone,
+    Dead,
 }
 
-/// A `Record` is what the author, one life of a node, last said of itself.
+/// A `Record` is what one incarnation of a node, its author, advertises about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record<V> {
     /// The node.
@@ -29,45 +29,45 @@
     /// The availability zone of its VM.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// The life of its process.
+    /// The incarnation of its process.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// The count of the author's changes; the highest holds.
+    /// The count of the author's changes; the highest wins.
     #[serde(rename = "s")]
     pub sequence: u64,
-    /// How it stands.
+    /// The state of the incarnation.
     #[serde(rename = "c")]
     pub condition: Condition,
-    /// What else others shall know.
+    /// The rest of what the node advertises.
     #[serde(rename = "v")]
     pub value: V,
 }
 
-/// A `Beat` is one life's heartbeat and the version of its record.
+/// A `Heartbeat` is the heartbeat of one incarnation with the version of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Incarnation, u64, u64)", into = "(Incarnation, u64, u64)")]
-pub struct Beat {
-    /// The life.
+pub struct Heartbeat {
+    /// The incarnation.
     pub incarnation: Incarnation,
     /// The sequence number of its record.
     pub sequence: u64,
-    /// The count of its rounds; 0 tells of the record alone.
+    /// The count of its rounds; 0 if only the version of the record is listed.
     pub beat: u64,
 }
 
-/// A `ZoneSummary` tells of a whole availability zone.
+/// A `ZoneSummary` is the heartbeat of a whole availability zone and a hash of its records.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(ZoneName, u64, u32)", into = "(ZoneName, u64, u32)")]
 pub struct ZoneSummary {
     /// The availability zone.
     pub zone: ZoneName,
-    /// A count that rises while the zone is heard of.
+    /// A count that rises while messages from the zone are received.
     pub beat: u64,
-    /// A hash of the versions of all records of the zone.
+    /// The hash of the versions of all records of the zone.
     pub hash: u32,
 }
 
-/// A `Gossip` is one message about members.
+/// A `Gossip` is one membership message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(bound(serialize = "V: Serialize", deserialize = "V: serde::de::DeserializeOwned"))]
 pub struct Gossip<V> {
@@ -76,23 +76,23 @@
     pub records: Vec<Record<V>>,
     /// Heartbeats.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
-    pub beats: Vec<Beat>,
+    pub beats: Vec<Heartbeat>,
     /// Summaries of availability zones.
     #[serde(rename = "z", default, skip_serializing_if = "Vec::is_empty")]
     pub zones: Vec<ZoneSummary>,
-    /// Lives whose records the sender lacks.
+    /// The incarnations whose records the sender requests.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub want: Vec<Incarnation>,
-    /// Whether the sender has just started and asks for everything.
+    /// Whether the sender has just started and requests all records.
     #[serde(rename = "j", default, skip_serializing_if = "is_false")]
     pub joins: bool,
-    /// Availability zones whose versions the sender wants listed.
+    /// The availability zones whose record versions the sender requests.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub lists: Vec<ZoneName>,
 }
 
 impl<V> Record<V> {
-    /// Returns what orders the states of one life.
+    /// Returns the key that orders the states of one incarnation.
     pub fn rank(&self) -> (u64, Condition) {
         (self.sequence, self.condition)
     }
@@ -112,7 +112,7 @@
 }
 
 impl<V> Gossip<V> {
-    /// Returns whether the message says nothing.
+    /// Returns whether the message has no content.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
             && self.beats.is_empty()
@@ -122,14 +122,14 @@
     }
 }
 
-impl From<(Incarnation, u64, u64)> for Beat {
-    fn from((incarnation, sequence, beat): (Incarnation, u64, u64)) -> Beat {
-        Beat { incarnation, sequence, beat }
+impl From<(Incarnation, u64, u64)> for Heartbeat {
+    fn from((incarnation, sequence, beat): (Incarnation, u64, u64)) -> Heartbeat {
+        Heartbeat { incarnation, sequence, beat }
     }
 }
 
-impl From<Beat> for (Incarnation, u64, u64) {
-    fn from(beat: Beat) -> Self {
+impl From<Heartbeat> for (Incarnation, u64, u64) {
+    fn from(beat: Heartbeat) -> Self {
         (beat.incarnation, beat.sequence, beat.beat)
     }
 }
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -1,8 +1,8 @@
-//! Leases of duties with fencing numbers, and what a holder may do when.
+//! Leases of duties with fencing numbers, and the time in which a holder may act.
 //!
-//! The key of a duty is tied to a lease of the key-value service and vanishes when that lapses.
-//! Its version, which rises with every write to the service, is the fencing number: no second
-//! counter has to be kept in step.
+//! The key of a duty is attached to a lease of the key-value service, which deletes it when the
+//! lease expires. Its version, which rises with every write to the service, is the fencing number,
+//! so that no second counter has to be kept consistent with it.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 /// `LeaseOptions` set the times of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseOptions {
-    /// How long the lease lasts without renewal.
+    /// How long the lease lasts without a renewal.
     pub ttl: Duration,
-    /// The part of the time that the holder does not count on, for clocks that run apart.
+    /// The part of `ttl` that the holder does not rely on, as the rates of clocks differ.
     pub margin: Duration,
-    /// The time between two renewals, and between two looks at another's lease.
+    /// The time between two renewals, and between two attempts while another node holds the lease.
     pub renew_interval: Duration,
-    /// The longest time that an order of an earlier holder may still be on its way.
+    /// The maximum time for which an order of an earlier holder may still be in flight.
     pub order_timeout: Duration,
 }
 
@@ -28,28 +28,28 @@
 pub enum LeaseCall {
     /// Opens a lease.
     Grant(Duration),
-    /// Writes the holder's name to the duty's key where it is absent, tied to the lease.
+    /// Writes the holder to the duty's key if the key is absent, attached to the lease.
     Claim(u64),
     /// Renews the lease.
     Renew(u64),
-    /// Removes the duty's key where it has this version.
+    /// Removes the duty's key if it has this version.
     Release(Fence),
 }
 
-/// A `Holder` is what the key of a held duty says.
+/// A `Holder` is the value of the key of a held duty.
 ///
-/// The lease belongs to it: a node that lost its right and comes back with a new lease finds its
-/// own name under the old one. Taking that for a success would let the key vanish with the old
-/// lease while the node renews the new one, and a second node would hold the duty too.
+/// The lease is part of it: a node that lost its hold and retries with a new lease may find its own
+/// incarnation under the old lease. If it took that for a success, the key would expire with the
+/// old lease while the node renews the new one, and a second node would hold the duty as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The life that holds the duty.
+    /// The incarnation that holds the duty.
     pub incarnation: Incarnation,
-    /// The lease that the key is tied to.
+    /// The lease that the key is attached to.
     pub lease: u64,
 }
 
-/// A `LeaseReply` tells how a [`LeaseCall`] ended.
+/// A `LeaseReply` is the outcome of a [`LeaseCall`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseReply {
     /// The lease was opened.
@@ -60,38 +60,40 @@
     Taken(Fence, Holder),
     /// The lease was renewed, or the key removed.
     Done,
-    /// The call failed, and may or may not take effect.
+    /// The call failed; whether it took effect is given.
     Failed(Ran),
 }
 
-/// A `Hold` is the right to carry out a duty.
+/// A `Hold` is the right to carry out a duty for some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
     /// The fencing number that every order carries.
     pub fence: Fence,
-    /// From when on orders may contradict those of an earlier holder.
+    /// The time from which orders may contradict those of an earlier holder.
     pub from: Stamp,
-    /// Until when the right lasts if it is not renewed.
+    /// The time at which the hold ends if it is not renewed.
     pub until: Stamp,
 }
 
-/// A `Lease` is one node's attempt to hold a duty.
+/// A `Lease` is the state machine by which one node tries to hold a duty.
 ///
-/// The right is counted from before the call that got or renewed it was sent, so it ends here
-/// before it ends at the service. After a pause the present time is past it, whatever the state.
+/// The end of the hold is counted from the time at which the call that acquired or renewed it was
+/// sent, so the hold ends at this node before the lease ends at the service. After a process pause
+/// the present time is past that end in every state.
 #[derive(Debug)]
 pub struct Lease {
     options: LeaseOptions,
     own: Incarnation,
     state: State,
-    sent: Option<Stamp>,
-    due: Stamp,
+    /// When the pending call was sent, if there is one.
+    sent_at: Option<Stamp>,
+    next_call_at: Stamp,
     failures: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Without,
+    Idle,
     Granting,
     Claiming { lease: u64, granted: Stamp },
     Holding { lease: u64, hold: Hold },
@@ -109,42 +111,42 @@
     }
 }
 
-/// Returns whether a node is among those that try to hold a duty.
+/// Returns whether a node is one of the `candidates` nodes that try to hold a duty.
 ///
-/// Few need to: each look at a held duty costs a call. The choice differs from duty to duty, so
-/// that no node carries them all.
+/// A few are enough, and each attempt at a held duty costs a call. The choice depends on the duty,
+/// so that no single node holds all of them.
 pub fn is_candidate(
     duty: &str,
     own: Incarnation,
     others: impl IntoIterator<Item = Incarnation>,
     candidates: usize,
 ) -> bool {
-    let rank = |life: Incarnation| xxh3_64(format!("{duty} {life}").as_bytes());
+    let rank = |incarnation: Incarnation| xxh3_64(format!("{duty} {incarnation}").as_bytes());
     let own = rank(own);
     others.into_iter().filter(|other| rank(*other) < own).count() < candidates
 }
 
 impl Holder {
-    /// Returns the value that the duty's key has.
+    /// Returns the value of the duty's key.
     pub fn encode(self) -> String {
         format!("{} {:x}", self.incarnation, self.lease)
     }
 
-    /// Reads the value of a duty's key.
+    /// Parses the value of a duty's key.
     pub fn decode(value: &str) -> Option<Holder> {
-        let (life, lease) = value.split_once(' ')?;
+        let (incarnation, lease) = value.split_once(' ')?;
         let lease = u64::from_str_radix(lease, 16).ok()?;
-        Some(Holder { incarnation: life.parse().ok()?, lease })
+        Some(Holder { incarnation: incarnation.parse().ok()?, lease })
     }
 }
 
 impl Lease {
-    /// Returns a lease that is not held.
+    /// Returns a lease that is not held yet.
     pub fn new(now: Stamp, own: Incarnation, options: LeaseOptions) -> Lease {
-        Lease { options, own, state: State::Without, sent: None, due: now, failures: 0 }
+        Lease { options, own, state: State::Idle, sent_at: None, next_call_at: now, failures: 0 }
     }
 
-    /// Returns the right to act now, if there is one; ask before each order.
+    /// Returns the hold if the node may act at `now`; to be checked before each order.
     pub fn hold(&self, now: Stamp) -> Option<Hold> {
         match self.state {
             State::Holding { hold, .. } if now < hold.until => Some(hold),
@@ -152,120 +154,122 @@
         }
     }
 
-    /// Lets time pass; returns the call that is due.
+    /// Advances the time; returns the call that is due, if there is one.
     pub fn tick(&mut self, now: Stamp, wanted: Wanted) -> Option<LeaseCall> {
-        if self.sent.is_some() {
+        if self.sent_at.is_some() {
             return None;
         }
         if wanted == Wanted::No {
-            return self.let_go(now);
+            return self.release(now);
         }
         if let State::Holding { hold, .. } = self.state {
-            // A pause or an outage outlasted the right. The old lease is never used again.
+            // A pause or an outage outlasted the hold. The old lease is never used again.
             if hold.until <= now {
-                self.state = State::Without;
+                self.state = State::Idle;
             }
         }
-        if now < self.due {
+        if now < self.next_call_at {
             return None;
         }
         let call = match self.state {
-            State::Without | State::Granting | State::Releasing => {
+            State::Idle | State::Granting | State::Releasing => {
                 self.state = State::Granting;
                 LeaseCall::Grant(self.options.ttl)
             }
             State::Claiming { lease, .. } => LeaseCall::Claim(lease),
             State::Holding { lease, .. } => LeaseCall::Renew(lease),
         };
-        self.sent = Some(now);
+        self.sent_at = Some(now);
         Some(call)
     }
 
-    /// Takes the reply to the last call.
+    /// Handles the reply to the pending call.
     pub fn reply(&mut self, now: Stamp, reply: LeaseReply, random: &mut dyn Rng) {
-        let Some(sent) = self.sent.take() else { return };
+        let Some(sent_at) = self.sent_at.take() else { return };
         match (self.state, reply) {
             (State::Granting, LeaseReply::Granted(lease)) => {
-                self.state = State::Claiming { lease, granted: sent };
-                self.due = now;
+                self.state = State::Claiming { lease, granted: sent_at };
+                self.next_call_at = now;
             }
             (State::Claiming { lease, granted }, LeaseReply::Claimed(fence)) => {
-                self.gain(now, lease, granted, fence);
+                self.acquire(now, lease, granted, fence);
             }
             // The reply to an earlier claim was lost, but the claim took effect.
             (State::Claiming { lease, granted }, LeaseReply::Taken(fence, holder))
                 if holder == (Holder { incarnation: self.own, lease }) =>
             {
-                self.gain(now, lease, granted, fence);
+                self.acquire(now, lease, granted, fence);
             }
             (State::Claiming { .. }, LeaseReply::Taken(..)) => {
-                self.state = State::Without;
-                self.wait(now, random);
+                self.state = State::Idle;
+                self.retry_later(now, random);
             }
             (State::Holding { lease, mut hold }, LeaseReply::Done) => {
-                hold.until = self.until(sent);
+                hold.until = self.valid_until(sent_at);
                 self.state = State::Holding { lease, hold };
                 self.failures = 0;
-                self.due = now + self.options.renew_interval;
+                self.next_call_at = now + self.options.renew_interval;
             }
             (State::Releasing, _) => {
-                self.state = State::Without;
-                self.wait(now, random);
+                self.state = State::Idle;
+                self.retry_later(now, random);
             }
             (State::Holding { .. }, LeaseReply::Failed(Ran::No)) => {
-                // The service says that the lease has lapsed: the duty may be another's already.
-                self.state = State::Without;
+                // The lease has expired at the service: another node may hold the duty already.
+                self.state = State::Idle;
                 self.back_off(now, random);
             }
             (State::Claiming { .. }, LeaseReply::Failed(Ran::No)) => {
-                self.state = State::Without;
+                self.state = State::Idle;
                 self.back_off(now, random);
             }
             _ => self.back_off(now, random),
         }
     }
 
-    fn gain(&mut self, now: Stamp, lease: u64, granted: Stamp, fence: Fence) {
-        let until = self.until(granted);
-        // The key was absent, so the earlier holder's lease has lapsed and it knows by its own
-        // clock. Orders that it sent before are gone once their time-out has passed.
+    fn acquire(&mut self, now: Stamp, lease: u64, granted: Stamp, fence: Fence) {
+        let until = self.valid_until(granted);
+        // The key was absent, so the earlier holder's lease has expired, and by its own clock its
+        // hold has ended. Orders that it sent before are no longer in flight once their timeout has
+        // passed.
         let from = now + self.options.order_timeout + self.options.margin;
         self.state = State::Holding { lease, hold: Hold { fence, from, until } };
         self.failures = 0;
-        self.due = now;
+        self.next_call_at = now;
     }
 
-    fn let_go(&mut self, now: Stamp) -> Option<LeaseCall> {
+    fn release(&mut self, now: Stamp) -> Option<LeaseCall> {
         let State::Holding { hold, .. } = self.state else {
-            self.state = State::Without;
+            self.state = State::Idle;
             return None;
         };
         self.state = State::Releasing;
-        self.sent = Some(now);
+        self.sent_at = Some(now);
         Some(LeaseCall::Release(hold.fence))
     }
 
-    fn until(&self, sent: Stamp) -> Stamp {
-        sent + (self.options.ttl - self.options.margin)
+    fn valid_until(&self, sent_at: Stamp) -> Stamp {
+        sent_at + (self.options.ttl - self.options.margin)
     }
 
-    fn wait(&mut self, now: Stamp, random: &mut dyn Rng) {
-        self.due = now + self.options.renew_interval.mul_f64(random.random_range(0.8..1.2));
+    fn retry_later(&mut self, now: Stamp, random: &mut dyn Rng) {
+        self.next_call_at =
+            now + self.options.renew_interval.mul_f64(random.random_range(0.8..1.2));
     }
 
-    // All nodes lose the service at once and would all come back at once.
+    // All nodes lose the service at the same time; jitter spreads their retries.
     fn back_off(&mut self, now: Stamp, random: &mut dyn Rng) {
         self.failures += 1;
         let full = self.options.renew_interval.mul_f64(0.25) * (1 << self.failures.min(4));
-        self.due = now + full.mul_f64(random.random_range(0.5..1.0));
+        self.next_call_at = now + full.mul_f64(random.random_range(0.5..1.0));
     }
 }
 
-/// A `Wanted` tells whether a node shall try to hold a duty.
+/// A `Wanted` tells whether a node should hold a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wanted {
-    /// It shall.
+    /// It should hold the duty or try to acquire it.
     Yes,
-    /// It shall not, and shall give back what it holds.
+    /// It should not, and should release the duty if it holds it.
     No,
 }
--- a/crates/coord/src/ledger.rs
+++ b/crates/coord/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of non-repeatable calls that one node has claimed.
+//! The ledger of the non-repeatable calls that one node has claimed.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -8,35 +8,40 @@
 use bulrushhall_core::{Ran, Stamp, TeamName};
 use bytes::Bytes;
 
-/// `LedgerOptions` bound the ledger.
+/// `LedgerOptions` set the limits of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerOptions {
-    /// How long a claim is remembered after it was settled.
-    pub window: Duration,
-    /// The most claims that are remembered.
-    pub claims: usize,
-    /// The most bytes of stored answers; of the oldest ones only the outcome is remembered then.
-    pub bytes: usize,
+    /// How long a claim is kept after its call has ended.
+    pub retention: Duration,
+    /// The upper bound of the claims that are kept.
+    pub max_claims: usize,
+    /// The upper bound of the bytes of stored answers; above it only the outcome of the oldest is
+    /// kept.
+    pub max_bytes: usize,
 }
 
 impl Default for LedgerOptions {
     fn default() -> Self {
-        LedgerOptions { window: Duration::from_secs(24 * 3600), claims: 100_000, bytes: 16 << 20 }
+        LedgerOptions {
+            retention: Duration::from_secs(24 * 3600),
+            max_claims: 100_000,
+            max_bytes: 16 << 20,
+        }
     }
 }
 
-/// A `Claim` is the answer to a caller that wants a key's call to run.
+/// A `Claim` is the result of claiming a key for a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Claim {
     /// The key is new and now claimed; the call may run.
     Run,
-    /// The call runs at this moment.
+    /// The call is running.
     Running,
-    /// The call was settled; its answer is stored.
+    /// The call has ended; its answer is given if it is still stored.
     Settled(Ran, Option<Bytes>),
     /// The key was used for a call with another body.
     OtherBody,
-    /// The ledger is full of claims that may not be forgotten yet.
+    /// The ledger is full of claims that may not be dropped yet.
     Full,
 }
 
@@ -45,13 +50,15 @@
 pub struct Ledger {
     options: LedgerOptions,
     claims: HashMap<(TeamName, Bytes), Entry>,
-    stored: VecDeque<(TeamName, Bytes)>,
+    /// The keys whose calls have ended, in the order in which they ended.
+    settled_keys: VecDeque<(TeamName, Bytes)>,
+    /// The bytes of all stored answers.
     bytes: usize,
 }
 
 #[derive(Debug)]
 struct Entry {
-    body: u64,
+    body_hash: u64,
     settled: Option<(Stamp, Ran, Option<Bytes>)>,
 }
 
@@ -61,23 +68,23 @@
         Ledger { options, ..Ledger::default() }
     }
 
-    /// Claims a key for a call whose body hashes to `body`.
-    pub fn claim(&mut self, now: Stamp, team: &TeamName, key: &Bytes, body: u64) -> Claim {
+    /// Claims a key for a call whose body has the hash `body_hash`.
+    pub fn claim(&mut self, now: Stamp, team: &TeamName, key: &Bytes, body_hash: u64) -> Claim {
         let name = (team.clone(), key.clone());
-        if let Some(known) = self.get(team, key, body) {
+        if let Some(known) = self.get(team, key, body_hash) {
             return known;
         }
-        if self.options.claims <= self.claims.len() {
-            self.forget(now);
+        if self.options.max_claims <= self.claims.len() {
+            self.drop_expired(now);
         }
-        if self.options.claims <= self.claims.len() {
+        if self.options.max_claims <= self.claims.len() {
             return Claim::Full;
         }
-        self.claims.insert(name, Entry { body, settled: None });
+        self.claims.insert(name, Entry { body_hash, settled: None });
         Claim::Run
     }
 
-    /// Notes how a claimed call ended; one that certainly did not run frees its key.
+    /// Records how a claimed call ended; a call that certainly did not run frees its key.
     pub fn settle(
         &mut self,
         now: Stamp,
@@ -98,14 +105,14 @@
         let bytes = answer.as_ref().map_or(0, Bytes::len);
         entry.settled = Some((now, ran, answer));
         self.bytes += bytes;
-        self.stored.push_back(name);
-        self.bound_bytes();
+        self.settled_keys.push_back(name);
+        self.evict_answers();
     }
 
-    /// Returns what is known of a key without claiming it; none if it is new.
-    pub fn get(&self, team: &TeamName, key: &Bytes, body: u64) -> Option<Claim> {
+    /// Returns what is known about a key without claiming it; none if it is new.
+    pub fn get(&self, team: &TeamName, key: &Bytes, body_hash: u64) -> Option<Claim> {
         let entry = self.claims.get(&(team.clone(), key.clone()))?;
-        if entry.body != body {
+        if entry.body_hash != body_hash {
             return Some(Claim::OtherBody);
         }
         Some(match &entry.settled {
@@ -114,24 +121,24 @@
         })
     }
 
-    fn bound_bytes(&mut self) {
-        while self.options.bytes < self.bytes {
-            let Some(oldest) = self.stored.pop_front() else { return };
+    fn evict_answers(&mut self) {
+        while self.options.max_bytes < self.bytes {
+            let Some(oldest) = self.settled_keys.pop_front() else { return };
             let entry = self.claims.get_mut(&oldest);
             let Some((_, _, answer)) = entry.and_then(|it| it.settled.as_mut()) else { continue };
             self.bytes -= answer.take().map_or(0, |answer| answer.len());
         }
     }
 
-    fn forget(&mut self, now: Stamp) {
-        let window = self.options.window;
+    fn drop_expired(&mut self, now: Stamp) {
+        let retention = self.options.retention;
         self.claims.retain(|_, entry| match &entry.settled {
             None => true,
-            Some((at, _, _)) => now.since(*at) < window,
+            Some((at, _, _)) => now.since(*at) < retention,
         });
         let claims = &self.claims;
-        self.stored.retain(|name| claims.contains_key(name));
-        let stored = claims.values().filter_map(|entry| entry.settled.as_ref()?.2.as_ref());
-        self.bytes = stored.map(Bytes::len).sum();
+        self.settled_keys.retain(|name| claims.contains_key(name));
+        let answers = claims.values().filter_map(|entry| entry.settled.as_ref()?.2.as_ref());
+        self.bytes = answers.map(Bytes::len).sum();
     }
 }
--- a/crates/coord/src/lib.rs
+++ b/crates/coord/src/lib.rs
@@ -1,4 +1,4 @@
-//! Coordination parts as state machines: time and events in, actions out.
+//! Coordination between nodes as state machines: time and events in, actions out.
 //!
 //! Nothing here reads a clock, opens a socket or spawns a task, so every run can be replayed.
 
@@ -31,7 +31,7 @@
 pub use entries::{Candidate, Headroom};
 pub use evacuation::{Evacuation, EvacuationOptions, Movable};
 pub use freshness::Freshness;
-pub use gossip::{Beat, Condition, Gossip, Record, ZoneSummary};
+pub use gossip::{Condition, Gossip, Heartbeat, Record, ZoneSummary};
 pub use head::{Head, HeadError};
 pub use lease::{Hold, Holder, Lease, LeaseCall, LeaseOptions, LeaseReply, Wanted};
 pub use ledger::{Claim, Ledger, LedgerOptions};
--- a/crates/coord/src/membership.rs
+++ b/crates/coord/src/membership.rs
@@ -1,9 +1,10 @@
-//! Membership: heartbeats inside an availability zone, summaries between zones by relays.
+//! Membership by gossip: heartbeats within an availability zone, summaries between zones by relays.
 //!
-//! Each author alone writes its record; (incarnation, sequence) orders its states and the highest
-//! wins, so repeats, cycles and reordering are harmless. Inside a domain (an availability zone,
-//! or all nodes while they are few) members pass on heartbeats. Between domains relays pass on
-//! summaries and changed records only, so that heartbeats don't cost more with every zone.
+//! Each node writes only its own record. (incarnation, sequence) orders the states of a record and
+//! the highest wins, so duplicates, cycles and reordering are harmless. Within a domain (an
+//! availability zone, or all nodes while there are few) members gossip heartbeats. Between domains
+//! relays exchange only summaries and changed records, so that the cost of heartbeats does not grow
+//! with the number of zones.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,59 +18,64 @@
 };
 
 use crate::{
-    gossip::{Beat, Condition, Gossip, Record, ZoneSummary},
+    gossip::{Condition, Gossip, Heartbeat, Record, ZoneSummary},
     membership_options::MembershipOptions,
-    roster::{BeatNews, Roster},
+    roster::{Roster, SenderVersion},
 };
 
-/// The messages in a row with another summary of a zone after which its versions are compared.
-const DIFFERENCES: u32 = 3;
-/// The most records that one round passes on.
-const RECORDS_MAX: usize = 32;
+/// The consecutive messages with a differing summary of a zone after which its versions are
+/// compared.
+const MAX_SUMMARY_MISMATCHES: u32 = 3;
+/// The upper bound of the records in the messages of one round.
+const MAX_RECORDS_PER_ROUND: usize = 32;
 
-/// A `Send` is a message that the machine wants sent.
+/// An `Outgoing` message is to be sent to another node.
 #[derive(Clone, Debug)]
 pub struct Outgoing<V> {
-    /// The life that it is meant for.
+    /// The incarnation that receives it.
     pub to: Incarnation,
-    /// What it says.
+    /// The content.
     pub gossip: Gossip<V>,
 }
 
-/// A `View` is one other life as the machine sees it.
+/// A `View` is what this node knows about another incarnation.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a, V> {
     /// Its record.
     pub record: &'a Record<V>,
-    /// Whether its heartbeats have been missing for a while.
+    /// Whether its heartbeats have been missing for longer than the suspicion timeout.
     pub suspected: bool,
 }
 
-/// A `Membership` is one node's knowledge of all others.
+/// A `Membership` is the membership state machine of one node.
 #[derive(Debug)]
 pub struct Membership<V> {
     options: MembershipOptions,
     roster: Roster<V>,
-    fresh: BTreeMap<Incarnation, u32>,
-    far_fresh: BTreeSet<Incarnation>,
-    next_far: Stamp,
-    differences: BTreeMap<ZoneName, u32>,
+    /// The changed records that are still to be sent within the domain, with the rounds that sent
+    /// them.
+    pending: BTreeMap<Incarnation, u32>,
+    /// The changed records that are still to be sent to other domains.
+    far_pending: BTreeSet<Incarnation>,
+    next_far_round: Stamp,
+    /// The consecutive messages with a differing summary of each zone.
+    summary_mismatches: BTreeMap<ZoneName, u32>,
     rounds: u64,
     next_round: Stamp,
 }
 
 impl<V: Clone + PartialEq> Membership<V> {
-    /// Returns the knowledge of a node that knows of itself alone.
+    /// Returns the membership of a node that knows only itself.
     pub fn new(now: Stamp, own: Record<V>, options: MembershipOptions) -> Membership<V> {
-        let fresh = BTreeMap::from([(own.incarnation, 0)]);
+        let pending = BTreeMap::from([(own.incarnation, 0)]);
         let roster = Roster::new(now, own, options.clone());
         Membership {
             options,
             roster,
-            fresh,
-            far_fresh: BTreeSet::new(),
-            next_far: now,
-            differences: BTreeMap::new(),
+            pending,
+            far_pending: BTreeSet::new(),
+            next_far_round: now,
+            summary_mismatches: BTreeMap::new(),
             rounds: 0,
             next_round: now,
         }
@@ -80,15 +86,16 @@
         &self.roster.known[&self.roster.own].record
     }
 
-    /// Returns the other lives that are believed to be alive, suspected ones included.
+    /// Returns the other incarnations that are considered alive, suspected ones included.
     pub fn members(&self) -> impl Iterator<Item = View<'_, V>> {
         let others = self.roster.known.values().filter(|known| {
-            known.record.incarnation != self.roster.own && self.roster.believed(known)
+            known.record.incarnation != self.roster.own && self.roster.is_live(known)
         });
-        others.map(|known| View { record: &known.record, suspected: self.roster.suspected(known) })
+        others
+            .map(|known| View { record: &known.record, suspected: self.roster.is_suspected(known) })
     }
 
-    /// Returns one known life's record, whether it is believed to be alive or not.
+    /// Returns the record of a known incarnation, whether it is considered alive or not.
     pub fn record(&self, incarnation: Incarnation) -> Option<&Record<V>> {
         self.roster.known.get(&incarnation).map(|known| &known.record)
     }
@@ -103,49 +110,49 @@
         self.roster.period()
     }
 
-    /// Returns the number of records that are held, removed ones included.
+    /// Returns the number of records that are kept, tombstones included.
     pub fn record_count(&self) -> usize {
         self.roster.known.len()
     }
 
-    /// Changes this node's own value; the change is passed on with the next rounds.
+    /// Changes this node's own value; the next rounds gossip the change.
     pub fn set_value(&mut self, value: V) {
         if self.own().value == value {
             return;
         }
-        self.change_own(|record| record.value = value);
+        self.update_own(|record| record.value = value);
     }
 
-    /// Marks this node as leaving for the rest of its life and tells others at once.
+    /// Marks this node as leaving for the rest of its incarnation and advertises that at once.
     pub fn leave(&mut self, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
         if self.own().condition != Condition::Alive {
             return Vec::new();
         }
-        self.change_own(|record| record.condition = Condition::Leaving);
+        self.update_own(|record| record.condition = Condition::Leaving);
         let own = self.own().clone();
-        self.tell_at_once(vec![own], random)
+        self.send_urgent(vec![own], random)
     }
 
-    /// Lets time pass; returns the messages of the round that is due.
+    /// Advances the time; returns the messages of the round if one is due.
     pub fn tick(&mut self, now: Stamp, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
         if now < self.next_round {
             return Vec::new();
         }
         self.roster.refresh(now);
-        // Rounds of nodes that started together would come in bursts; jitter spreads them.
+        // Rounds of nodes that started together would come in bursts; jitter spreads them out.
         self.next_round = now + self.period().mul_f64(random.random_range(0.9..1.1));
         self.rounds += 1;
         let own = self.roster.own;
         if let Some(known) = self.roster.known.get_mut(&own) {
-            known.beat(self.rounds, now);
+            known.record_round(self.rounds, now);
         }
         for removed in self.roster.remove_silent() {
-            self.fresh.insert(removed, 0);
+            self.pending.insert(removed, 0);
         }
-        self.round(random)
+        self.run_round(random)
     }
 
-    /// Takes a message of another life; returns what is to be sent because of it.
+    /// Handles a message of another incarnation; returns the messages that follow from it.
     pub fn receive(
         &mut self,
         now: Stamp,
@@ -156,30 +163,30 @@
         self.roster.now = self.roster.now.max(now);
         let mut answer = Gossip::default();
         let mut urgent = Vec::new();
-        // The answer to a node that joins holds everyone. Others know them already: to pass them
-        // on again would fill many rounds and hold up what is new.
-        let bulk = RECORDS_MAX < gossip.records.len();
+        // The reply to a joining node holds all records. The other nodes know them already:
+        // gossiping them again would fill many rounds and delay updates.
+        let is_bulk = MAX_RECORDS_PER_ROUND < gossip.records.len();
         for record in gossip.records {
-            let leaving = record.condition == Condition::Leaving;
-            if self.take(record.clone()) {
-                if bulk {
-                    self.fresh.remove(&record.incarnation);
+            let is_leaving = record.condition == Condition::Leaving;
+            if self.apply_record(record.clone()) {
+                if is_bulk {
+                    self.pending.remove(&record.incarnation);
                 }
-                urgent.extend(leaving.then_some(record));
-            } else if record.condition != Condition::Gone {
-                // Whoever still believes in a life that was removed here has to be told, so that
-                // the author hears of it and can correct it.
-                answer.records.extend(self.roster.removed(record.incarnation).cloned());
+                urgent.extend(is_leaving.then_some(record));
+            } else if record.condition != Condition::Dead {
+                // A node that still considers an incarnation alive that was removed here receives
+                // the tombstone, so that it reaches the author, which can then refute it.
+                answer.records.extend(self.roster.tombstone(record.incarnation).cloned());
             }
         }
         for beat in gossip.beats {
-            self.take_beat(beat, &mut answer);
+            self.apply_heartbeat(beat, &mut answer);
         }
         for incarnation in gossip.want {
             answer.records.extend(self.record(incarnation).cloned());
         }
         for summary in gossip.zones {
-            self.take_summary(from, summary, &mut answer);
+            self.apply_summary(from, summary, &mut answer);
         }
         for zone in gossip.lists {
             answer.beats.extend(self.roster.versions_of(&zone));
@@ -188,87 +195,88 @@
             answer.records.extend(self.members().map(|view| view.record.clone()));
             answer.records.push(self.own().clone());
         }
-        let mut sends = self.tell_at_once(urgent, random);
+        let mut sends = self.send_urgent(urgent, random);
         if !answer.is_empty() {
             sends.push(Outgoing { to: from, gossip: answer });
         }
         sends
     }
 
-    /// Returns what a node sends to an address that it was started with.
+    /// Returns the message that a joining node sends to the addresses it was configured with.
     pub fn join_message(&self) -> Gossip<V> {
         let records = vec![self.own().clone()];
         Gossip { records, joins: true, ..Gossip::default() }
     }
 
-    fn change_own(&mut self, change: impl FnOnce(&mut Record<V>)) {
+    fn update_own(&mut self, change: impl FnOnce(&mut Record<V>)) {
         let own = self.roster.own;
         let Some(known) = self.roster.known.get_mut(&own) else { return };
         change(&mut known.record);
         known.record.sequence += 1;
-        self.roster.forget_hash(own);
-        self.fresh.insert(own, 0);
+        self.roster.invalidate_hash(own);
+        self.pending.insert(own, 0);
     }
 
-    // Returns whether the record was news.
-    fn take(&mut self, record: Record<V>) -> bool {
+    // Returns whether the record was an update.
+    fn apply_record(&mut self, record: Record<V>) -> bool {
         let incarnation = record.incarnation;
         if incarnation == self.roster.own {
             self.refute(&record);
             return false;
         }
-        let news = self.roster.take(record);
-        if news {
-            self.fresh.insert(incarnation, 0);
+        let is_new = self.roster.apply_record(record);
+        if is_new {
+            self.pending.insert(incarnation, 0);
         }
-        news
+        is_new
     }
 
-    // Others took this node for dead, perhaps while it was paused. A higher sequence number
-    // corrects them; what it had said of itself, leaving above all, stays as it was.
-    fn refute(&mut self, told: &Record<V>) {
-        if told.rank() <= self.own().rank() {
+    // Other nodes may have removed this node, for example while it was paused. A higher sequence
+    // number refutes that. The content of its record stays as it was, above all the leaving
+    // condition.
+    fn refute(&mut self, received: &Record<V>) {
+        if received.rank() <= self.own().rank() {
             return;
         }
-        let sequence = told.sequence;
-        self.change_own(|record| record.sequence = record.sequence.max(sequence));
+        let sequence = received.sequence;
+        self.update_own(|record| record.sequence = record.sequence.max(sequence));
     }
 
-    fn take_beat(&mut self, beat: Beat, answer: &mut Gossip<V>) {
+    fn apply_heartbeat(&mut self, beat: Heartbeat, answer: &mut Gossip<V>) {
         if beat.incarnation == self.roster.own {
             if beat.sequence < self.own().sequence {
                 answer.records.push(self.own().clone());
             }
             return;
         }
-        match self.roster.take_beat(beat) {
-            BeatNews::Same => {}
-            BeatNews::Ahead => answer.want.push(beat.incarnation),
-            BeatNews::Behind => answer.records.extend(self.record(beat.incarnation).cloned()),
+        match self.roster.apply_heartbeat(beat) {
+            SenderVersion::Same => {}
+            SenderVersion::Ahead => answer.want.push(beat.incarnation),
+            SenderVersion::Behind => answer.records.extend(self.record(beat.incarnation).cloned()),
         }
     }
 
-    fn take_summary(&mut self, from: Incarnation, summary: ZoneSummary, answer: &mut Gossip<V>) {
-        self.roster.take_summary(from, &summary);
-        let differences = self.differences.entry(summary.zone.clone()).or_default();
+    fn apply_summary(&mut self, from: Incarnation, summary: ZoneSummary, answer: &mut Gossip<V>) {
+        self.roster.apply_summary(from, &summary);
+        let summary_mismatches = self.summary_mismatches.entry(summary.zone.clone()).or_default();
         if summary.hash == self.roster.hash_of(&summary.zone) {
-            *differences = 0;
+            *summary_mismatches = 0;
             return;
         }
-        // Changes on their way make summaries differ for a moment. Only a lasting difference is
-        // worth a list: a message was lost, or two parts have come together again.
-        *differences += 1;
-        if *differences < DIFFERENCES {
+        // Updates in flight make summaries differ for a moment. Versions are listed only if the
+        // difference lasts, after a lost message or a healed partition.
+        *summary_mismatches += 1;
+        if *summary_mismatches < MAX_SUMMARY_MISMATCHES {
             return;
         }
-        *differences = 0;
+        *summary_mismatches = 0;
         answer.beats.extend(self.roster.versions_of(&summary.zone));
         answer.lists.push(summary.zone);
     }
 
-    fn round(&mut self, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
+    fn run_round(&mut self, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
         let zone = self.own().zone.clone();
-        let records = self.take_fresh();
+        let records = self.take_pending();
         let own_summary = self.own_summary();
         let mut zones: Vec<ZoneSummary> = own_summary.iter().cloned().collect();
         for far in self.roster.far_zones() {
@@ -276,7 +284,7 @@
         }
         let gossip = Gossip {
             records: records.clone(),
-            beats: self.roster.beats(),
+            beats: self.roster.heartbeats(),
             zones,
             ..Gossip::default()
         };
@@ -284,14 +292,14 @@
         for to in self.roster.domain().sample(random, self.options.fanout) {
             sends.push(Outgoing { to: *to, gossip: gossip.clone() });
         }
-        self.far_fresh.extend(records.into_iter().map(|record| record.incarnation));
-        let far_due = self.next_far <= self.roster.now;
-        if !far_due || self.roster.is_flat() {
+        self.far_pending.extend(records.into_iter().map(|record| record.incarnation));
+        let is_far_due = self.next_far_round <= self.roster.now;
+        if !is_far_due || self.roster.is_flat() {
             return sends;
         }
-        self.next_far =
+        self.next_far_round =
             self.roster.now + self.roster.far_period().mul_f64(random.random_range(0.9..1.1));
-        let records = self.take_far_fresh();
+        let records = self.take_far_pending();
         if !self.roster.relays_of(&zone).contains(&self.roster.own) {
             return sends;
         }
@@ -311,38 +319,39 @@
         Some(self.roster.summary_of(&zone))
     }
 
-    // News spreads to everyone within some rounds; a record is passed on no longer than that.
-    fn take_fresh(&mut self) -> Vec<Record<V>> {
+    // An update reaches all members of the domain within a few rounds, so it is sent no longer than
+    // that.
+    fn take_pending(&mut self) -> Vec<Record<V>> {
         let mut records = Vec::new();
-        for (incarnation, told) in &mut self.fresh {
-            if records.len() == RECORDS_MAX {
+        for (incarnation, times_sent) in &mut self.pending {
+            if records.len() == MAX_RECORDS_PER_ROUND {
                 break;
             }
-            *told += 1;
+            *times_sent += 1;
             let known = self.roster.known.get(incarnation);
             records.extend(known.map(|known| known.record.clone()));
         }
-        let repeats = self.options.repeats;
-        self.fresh.retain(|_, told| *told < repeats);
+        let update_rounds = self.options.update_rounds;
+        self.pending.retain(|_, times_sent| *times_sent < update_rounds);
         records
     }
 
-    // Other domains are told of changes in this one alone: each tells all others of its own.
-    fn take_far_fresh(&mut self) -> Vec<Record<V>> {
-        let fresh = std::mem::take(&mut self.far_fresh);
+    // Only records of the own domain are sent to other domains: each domain advertises its own.
+    fn take_far_pending(&mut self) -> Vec<Record<V>> {
+        let pending = std::mem::take(&mut self.far_pending);
         let zone = &self.own().zone;
-        let records = fresh.iter().filter_map(|incarnation| self.record(*incarnation));
-        records.filter(|record| record.zone == *zone).take(RECORDS_MAX).cloned().collect()
+        let records = pending.iter().filter_map(|incarnation| self.record(*incarnation));
+        records.filter(|record| record.zone == *zone).take(MAX_RECORDS_PER_ROUND).cloned().collect()
     }
 
-    fn tell_at_once(&self, urgent: Vec<Record<V>>, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
+    fn send_urgent(&self, urgent: Vec<Record<V>>, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
         if urgent.is_empty() {
             return Vec::new();
         }
         let gossip = Gossip { records: urgent, ..Gossip::default() };
-        let near = self.roster.domain();
+        let members = self.roster.domain();
         let mut to: BTreeSet<Incarnation> =
-            near.sample(random, self.options.urgent_fanout).copied().collect();
+            members.sample(random, self.options.urgent_fanout).copied().collect();
         if !self.roster.is_flat() {
             let relays = self.roster.relays_of(&self.own().zone);
             if relays.contains(&self.roster.own) {
@@ -354,14 +363,15 @@
         to.into_iter().map(|to| Outgoing { to, gossip: gossip.clone() }).collect()
     }
 
-    // One relay of each far zone; of a silent zone any member, lest it be lost for good when
-    // regions come together again.
+    // Returns one relay of each far zone, or any member of a zone whose members are all suspected:
+    // otherwise that zone would stay unreachable after a partition between regions has healed.
     fn far_relays(&self, random: &mut dyn Rng) -> Vec<Incarnation> {
         let mut far = Vec::new();
         for zone in self.roster.far_zones() {
             let relays = self.roster.relays_of(&zone);
-            let some = if relays.is_empty() { self.roster.of_zone(&zone) } else { relays };
-            far.extend(some.into_iter().choose(random));
+            let candidates =
+                if relays.is_empty() { self.roster.live_in_zone(&zone) } else { relays };
+            far.extend(candidates.into_iter().choose(random));
         }
         far
     }
--- a/crates/coord/src/membership_options.rs
+++ b/crates/coord/src/membership_options.rs
@@ -1,56 +1,56 @@
-//! The pace of membership.
+//! Intervals, timeouts and limits of membership.
 
 use std::time::Duration;
 
-/// `MembershipOptions` set the pace of membership.
+/// `MembershipOptions` set the intervals, timeouts and limits of membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipOptions {
-    /// The shortest time between two rounds, used in small domains.
-    pub shortest_period: Duration,
-    /// The longest time between two rounds, used in large domains.
-    pub longest_period: Duration,
+    /// The minimum time between two rounds, used in small domains.
+    pub min_period: Duration,
+    /// The maximum time between two rounds, used in large domains.
+    pub max_period: Duration,
     /// What each member of a domain adds to the time between two rounds.
     pub period_per_member: Duration,
-    /// The shortest time between two messages of a relay to another domain.
-    pub far_shortest: Duration,
-    /// The longest time between two messages of a relay to another domain.
-    pub far_longest: Duration,
+    /// The minimum time between two messages of a relay to another domain.
+    pub min_far_period: Duration,
+    /// The maximum time between two messages of a relay to another domain.
+    pub max_far_period: Duration,
     /// What each domain adds to the time between two messages of a relay to another one.
-    pub far_per_zone: Duration,
-    /// The members of the domain that a round is sent to.
+    pub far_period_per_zone: Duration,
+    /// The number of members of the domain that receive the messages of one round.
     pub fanout: usize,
-    /// The members of the domain that a leaving node is told to at once.
+    /// The number of members of the domain that receive at once that a node is leaving.
     pub urgent_fanout: usize,
-    /// The nodes of a domain that exchange summaries with other domains.
-    pub relays: usize,
-    /// The rounds without a heartbeat after which a member is suspected.
+    /// The number of nodes of a domain that exchange summaries with other domains.
+    pub relays_per_zone: usize,
+    /// The number of rounds without a heartbeat after which a member is suspected.
     pub suspect_rounds: u32,
-    /// The rounds without a heartbeat after which a member is removed.
+    /// The number of rounds without a heartbeat after which a member is removed.
     pub dead_rounds: u32,
-    /// The rounds in which a changed record is passed on.
-    pub repeats: u32,
-    /// How long a removed member's record is kept, so that older news can't bring it back.
-    pub forget: Duration,
-    /// The most nodes that form one domain; above it each availability zone is one.
+    /// The number of rounds in which a changed record is sent.
+    pub update_rounds: u32,
+    /// How long a removed member's record is kept, so that an older update can't bring it back.
+    pub tombstone_retention: Duration,
+    /// The upper bound of the nodes that form one domain; with more, each availability zone is one.
     pub max_flat_nodes: usize,
 }
 
 impl Default for MembershipOptions {
     fn default() -> Self {
         MembershipOptions {
-            shortest_period: Duration::from_millis(250),
-            longest_period: Duration::from_secs(1),
+            min_period: Duration::from_millis(250),
+            max_period: Duration::from_secs(1),
             period_per_member: Duration::from_millis(50),
-            far_shortest: Duration::from_millis(400),
-            far_longest: Duration::from_secs(2),
-            far_per_zone: Duration::from_millis(150),
+            min_far_period: Duration::from_millis(400),
+            max_far_period: Duration::from_secs(2),
+            far_period_per_zone: Duration::from_millis(150),
             fanout: 2,
             urgent_fanout: 7,
-            relays: 2,
+            relays_per_zone: 2,
             suspect_rounds: 8,
             dead_rounds: 14,
-            repeats: 5,
-            forget: Duration::from_secs(7_200),
+            update_rounds: 5,
+            tombstone_retention: Duration::from_secs(7_200),
             max_flat_nodes: 48,
         }
     }
@@ -61,17 +61,17 @@
     pub fn period(&self, members: usize) -> Duration {
         let members = u32::try_from(members).unwrap_or(u32::MAX);
         let grown = self.period_per_member.saturating_mul(members);
-        grown.clamp(self.shortest_period, self.longest_period)
+        grown.clamp(self.min_period, self.max_period)
     }
 
-    /// Returns the time between two messages of a relay to another of `zones` domains.
+    /// Returns the time between two messages of a relay to another domain if there are `zones`.
     pub fn far_period(&self, zones: usize) -> Duration {
         let zones = u32::try_from(zones).unwrap_or(u32::MAX);
-        let grown = self.far_per_zone.saturating_mul(zones);
-        grown.clamp(self.far_shortest, self.far_longest)
+        let grown = self.far_period_per_zone.saturating_mul(zones);
+        grown.clamp(self.min_far_period, self.max_far_period)
     }
 
-    /// Returns whether all nodes form one domain, whatever their number.
+    /// Returns whether all nodes form one domain at any number of nodes.
     pub fn always_flat(&self) -> bool {
         self.max_flat_nodes == usize::MAX
     }
--- a/crates/coord/src/notices.rs
+++ b/crates/coord/src/notices.rs
@@ -1,45 +1,45 @@
-//! Which VMs are leaving, from notices, the lagging list and other nodes: whichever tells first.
+//! The VMs that are leaving, from notices, the lagging list and other nodes, whichever is first.
 
 use std::collections::BTreeMap;
 
 use bulrushhall_core::{Stamp, VmName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most VMs that are remembered; the ones that were told of first are forgotten first.
-const REMEMBERED: usize = 20_000;
+/// The upper bound of the VMs that are kept; the earliest are dropped first.
+const MAX_LEAVING: usize = 20_000;
 
-/// A `Source` told of a leaving VM.
+/// A `Source` reports leaving VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// A notice of the cloud API.
     Notice,
-    /// The list of VMs.
+    /// The list of VMs of the cloud API.
     List,
     /// Another node.
     Peer,
 }
 
-/// A `Departure` tells when and from whom a node first heard that a VM is leaving.
+/// A `Departure` is the first report that a VM is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
-    /// When it was heard.
+    /// When it was received.
     pub at: Stamp,
-    /// Who told.
+    /// The source of the report.
     pub source: Source,
 }
 
 /// `Notices` are the VMs that are known to leave.
 ///
-/// A VM's name is never used twice and a reclaim is never taken back, so nothing that is heard
-/// later clears an entry: a list that lags and still shows the VM as staying, or a notice that is
-/// no longer in the answer, changes nothing.
+/// The name of a VM is never reused and a reclaim is never revoked, so no later report clears an
+/// entry: a list that lags and still shows the VM as staying, or a notice that is missing from a
+/// later response, changes nothing.
 #[derive(Debug, Default)]
 pub struct Notices {
     leaving: BTreeMap<VmName, Departure>,
 }
 
 impl Notices {
-    /// Takes names of leaving VMs; returns those that were not known to leave.
+    /// Adds leaving VMs; returns those that were not known to leave yet.
     pub fn take(
         &mut self,
         now: Stamp,
@@ -54,7 +54,7 @@
             self.leaving.insert(vm.clone(), Departure { at: now, source });
             new.push(vm);
         }
-        while REMEMBERED < self.leaving.len() {
+        while MAX_LEAVING < self.leaving.len() {
             let oldest = self.leaving.iter().min_by_key(|(_, departure)| departure.at);
             let Some(oldest) = oldest.map(|(vm, _)| vm.clone()) else { break };
             self.leaving.remove(&oldest);
@@ -67,19 +67,19 @@
         self.leaving.contains_key(vm)
     }
 
-    /// Returns when and from whom it was first heard that a VM is leaving.
+    /// Returns the first report that a VM is leaving.
     pub fn departure(&self, vm: &VmName) -> Option<Departure> {
         self.leaving.get(vm).copied()
     }
 
-    /// Returns the VMs that are known to leave, in the order of their names.
+    /// Returns the VMs that are known to leave, ordered by name.
     pub fn leaving(&self) -> impl Iterator<Item = &VmName> {
         self.leaving.keys()
     }
 
     /// Returns a hash of the VMs that are known to leave, to compare with another node's.
     pub fn hash(&self) -> u64 {
-        // Adding up the hashes makes the order of arrival irrelevant.
+        // The sum of the hashes does not depend on the order of arrival.
         let hashes = self.leaving.keys().map(|vm| xxh3_64(vm.as_str().as_bytes()));
         hashes.fold(0, u64::wrapping_add)
     }
--- a/crates/coord/src/ownership/machine.rs
+++ b/crates/coord/src/ownership/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one node: events in, actions out.
+//! The ownership state machine of one node: events in, actions out.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,57 +9,57 @@
     message::{Message, Version},
     options::OwnershipOptions,
     peers::{Peer, Peers},
-    row::{Gone, Holder, Owned, Row, Stage},
+    state::{Holder, Owned, Stage, State, Tombstone},
 };
 
-/// The messages in a row that a holder may fail to get before another one is chosen.
-pub(super) const UNDELIVERED_MAX: u8 = 2;
+/// The consecutive messages that a peer may fail to receive before another one is chosen.
+pub(super) const MAX_UNDELIVERED: u8 = 2;
 
-/// An `Action` is what the node around an [`Ownership`] has to do.
+/// An `Action` is what the node that runs an [`Ownership`] has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message to a life of a node.
+    /// Send a message to an incarnation of a node.
     Send(Incarnation, Message),
     /// Tell the caller that the request is accepted.
     Accepted(RequestId, CopyLocation),
-    /// Run the request from the given tokens on; this node owns it now.
+    /// Run the request and continue after the given tokens; this node owns it now.
     Start {
         /// The request.
         id: RequestId,
         /// The version under which it is owned.
         version: Version,
-        /// The request as its owner needs it.
+        /// The serialized request that its owner runs.
         body: Bytes,
-        /// The tokens so far.
+        /// The tokens produced so far.
         tokens: Vec<String>,
     },
     /// Stop running the request; it is being offered to another node.
     Stop(RequestId),
-    /// The request is owned by another life now; its readers go there.
+    /// The request is now owned by another incarnation; its readers have to go there.
     Moved(RequestId, Incarnation),
-    /// Show these tokens to readers; the first has the given number.
+    /// Show these tokens to readers; the first has the given index.
     Release(RequestId, usize, Vec<String>),
-    /// Show the end to readers; nothing follows.
+    /// Show the end of the response to readers; nothing follows.
     End(RequestId, Bytes),
-    /// Keep a finished answer for readers that come here.
+    /// Store a finished response for readers that come to this node.
     Keep {
         /// The request.
         id: RequestId,
-        /// The request as its owner needed it.
+        /// The serialized request that its owner ran.
         body: Bytes,
         /// All tokens.
         tokens: Vec<String>,
-        /// How the answer ended.
+        /// The end of the response.
         end: Bytes,
     },
 }
 
-/// A `CopyLocation` tells where the copy of an accepted request is.
+/// A `CopyLocation` is the place of the copy of an accepted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyLocation {
-    /// A peer has it.
+    /// This peer holds it.
     At(Incarnation),
-    /// No peer took it: the request is lost with this node.
+    /// No peer holds one: the request is lost if this node fails.
     Nowhere,
 }
 
@@ -69,83 +69,85 @@
     pub(super) options: OwnershipOptions,
     pub(super) own: Incarnation,
     pub(super) peers: Peers,
-    pub(super) rows: BTreeMap<RequestId, Row>,
-    /// Owned requests that may have something to send.
+    pub(super) requests: BTreeMap<RequestId, State>,
+    /// The owned requests that may have something to send.
     pub(super) dirty: BTreeSet<RequestId>,
-    /// Since when this node is leaving.
+    /// Since when this node has been leaving.
     pub(super) leaving: Option<Stamp>,
 }
 
 impl Ownership {
-    /// Returns the machine of the node `own` in `zone`, which knows no peer yet.
-    pub fn new(own: Incarnation, zone: ZoneName, options: OwnershipOptions) -> Ownership {
-        let peers = Peers { zone, present: Vec::new() };
-        let (rows, dirty) = (BTreeMap::new(), BTreeSet::new());
-        Ownership { options, own, peers, rows, dirty, leaving: None }
+    /// Returns the state machine of the node `own` in `own_zone`, which knows no peer yet.
+    pub fn new(own: Incarnation, own_zone: ZoneName, options: OwnershipOptions) -> Ownership {
+        let peers = Peers { own_zone, live: Vec::new() };
+        let (requests, dirty) = (BTreeMap::new(), BTreeSet::new());
+        Ownership { options, own, peers, requests, dirty, leaving: None }
     }
 
-    /// Takes a new request on; [`Action::Accepted`] follows once it is copied.
+    /// Takes ownership of a new request; [`Action::Accepted`] follows once it is copied.
     pub fn accept(&mut self, now: Stamp, id: RequestId, body: Bytes) -> Vec<Action> {
         let version = Version { epoch: 1, generation: 0, owner: self.own };
         let mut out = Vec::new();
-        self.own_from(now, id, version, body, Vec::new(), None, &mut out);
+        self.take_ownership(now, id, version, body, Vec::new(), None, &mut out);
         out
     }
 
-    /// Adds a token that was produced under `version`; returns false once that run is over.
+    /// Appends a token that was produced under `version`; returns false once that run is over.
     ///
-    /// The token goes out with the next [`Ownership::tick`], so that requests share messages.
+    /// The token is sent with the next [`Ownership::tick`], so that tokens of one tick share a
+    /// message.
     pub fn token(&mut self, id: RequestId, version: Version, token: String) -> bool {
-        let Some(owned) = self.running(id, version) else { return false };
+        let Some(owned) = self.current_run(id, version) else { return false };
         owned.tokens.push(token);
         self.dirty.insert(id);
         true
     }
 
-    /// Notes how the answer ended that was produced under `version`; returns false once that run
-    /// is over.
+    /// Records the end of the response that was produced under `version`; returns false once that
+    /// run is over.
     pub fn finish(&mut self, id: RequestId, version: Version, end: Bytes) -> bool {
-        let Some(owned) = self.running(id, version) else { return false };
+        let Some(owned) = self.current_run(id, version) else { return false };
         owned.end = Some(end);
         self.dirty.insert(id);
         true
     }
 
-    /// Puts new members in place of the present ones.
+    /// Replaces the known peers by `members`.
     pub fn set_members(&mut self, now: Stamp, members: Vec<Peer>) -> Vec<Action> {
-        self.peers.present = members;
+        self.peers.live = members;
         let mut out = Vec::new();
-        let ids: Vec<RequestId> = self.rows.keys().copied().collect();
+        let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
-            self.look_at_members(now, id, &mut out);
+            self.apply_members(now, id, &mut out);
         }
         out
     }
 
-    /// Notes that this node is leaving: it passes on the copies that it holds.
+    /// Marks this node as leaving: it passes on the copies that it holds.
     pub fn leave(&mut self, now: Stamp) {
         self.leaving.get_or_insert(now);
     }
 
-    /// Offers an owned request to its holder or another peer, to own it from now on.
+    /// Offers an owned request to its holder or to another peer, which becomes its owner.
     ///
-    /// Where no peer is there to take it, the request stays and goes on.
+    /// Without an eligible peer the request stays here and keeps running.
     pub fn hand_over(&mut self, now: Stamp, id: RequestId) -> Vec<Action> {
         let mut out = Vec::new();
-        let offered = matches!(self.rows.get(&id), Some(Row::Owned(it)) if it.handing.is_some());
-        if !offered {
+        let is_offered =
+            matches!(self.requests.get(&id), Some(State::Owned(it)) if it.handover.is_some());
+        if !is_offered {
             self.offer(now, id, &mut out);
         }
         out
     }
 
-    /// Notes that a message to a peer could not be delivered.
+    /// Records that a message to a peer could not be delivered.
     pub fn undelivered(&mut self, now: Stamp, to: Incarnation, id: RequestId) -> Vec<Action> {
         let mut out = Vec::new();
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return out };
-        if let Some(handing) = owned.handing.as_mut().filter(|it| it.version.owner == to) {
-            handing.undelivered += 1;
-            if UNDELIVERED_MAX <= handing.undelivered {
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return out };
+        if let Some(handover) = owned.handover.as_mut().filter(|it| it.version.owner == to) {
+            handover.undelivered += 1;
+            if MAX_UNDELIVERED <= handover.undelivered {
                 self.offer(now, id, &mut out);
             }
             return out;
@@ -153,19 +155,19 @@
         let Some(holder) = owned.holder.as_mut().filter(|holder| holder.peer == to) else {
             return out;
         };
-        // A first copy is waited for by a caller. Later one failure may be a moment's trouble, but
-        // a holder that fails again is taken for dead before the members say so: should this node
-        // go as well by then, nobody would have the request.
+        // A caller waits for the first copy, so one failure is enough there. Later a single failure
+        // may be transient, but a second one counts the holder as dead before the membership does:
+        // if this node failed as well until then, no node would have the request.
         holder.undelivered += 1;
-        let failed = owned.stage == Stage::Copying || UNDELIVERED_MAX <= holder.undelivered;
-        if failed && owned.handing.is_none() {
-            owned.failed.push(to);
+        let failed = owned.stage == Stage::Copying || MAX_UNDELIVERED <= holder.undelivered;
+        if failed && owned.handover.is_none() {
+            owned.failed_holders.push(to);
             self.choose_holder(now, id, &mut out);
         }
         out
     }
 
-    /// Sends what is due and ends waits that have lasted too long.
+    /// Sends the tokens and ends that are due.
     pub fn tick(&mut self, now: Stamp) -> Vec<Action> {
         let mut out = Vec::new();
         for id in std::mem::take(&mut self.dirty) {
@@ -174,18 +176,20 @@
         out
     }
 
-    /// Looks at every request for takeovers, repeats and time-outs; due some times a second.
+    /// Handles takeovers, retries and timeouts of every request; to be called some times a second.
     pub fn sweep(&mut self, now: Stamp) -> Vec<Action> {
         let mut out = Vec::new();
-        let ids: Vec<RequestId> = self.rows.keys().copied().collect();
+        let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
-            match self.rows.get(&id) {
-                Some(Row::Owned(_)) => self.sweep_owned(now, id, &mut out),
-                Some(Row::Held(_)) => self.sweep_held(now, id, &mut out),
-                Some(Row::Gone(gone)) if self.options.keep <= now.since(gone.at) => {
-                    self.rows.remove(&id);
+            match self.requests.get(&id) {
+                Some(State::Owned(_)) => self.sweep_owned(now, id, &mut out),
+                Some(State::Held(_)) => self.sweep_held(now, id, &mut out),
+                Some(State::Tombstone(tombstone))
+                    if self.options.tombstone_retention <= now.since(tombstone.created_at) =>
+                {
+                    self.requests.remove(&id);
                 }
-                Some(Row::Gone(_)) | None => {}
+                Some(State::Tombstone(_)) | None => {}
             }
         }
         out
@@ -193,55 +197,56 @@
 
     /// Returns the requests that this node owns and that have not ended.
     pub fn owned(&self) -> Vec<RequestId> {
-        let owned = self.rows.iter().filter(|(_, row)| matches!(row, Row::Owned(_)));
+        let owned = self.requests.iter().filter(|(_, state)| matches!(state, State::Owned(_)));
         owned.map(|(id, _)| *id).collect()
     }
 
-    /// Returns the body of a request that another node owns and that is copied here.
+    /// Returns the body of a request that another node owns and whose copy is held here.
     pub fn held_body(&self, id: RequestId) -> Option<&Bytes> {
-        let Some(Row::Held(held)) = self.rows.get(&id) else { return None };
+        let Some(State::Held(held)) = self.requests.get(&id) else { return None };
         Some(&held.body)
     }
 
-    /// Returns the node that a request went to from here.
+    /// Returns the owner that a request moved to from this node.
     pub fn moved_to(&self, id: RequestId) -> Option<Incarnation> {
-        let Some(Row::Gone(gone)) = self.rows.get(&id) else { return None };
-        Some(gone.version.owner)
+        let Some(State::Tombstone(tombstone)) = self.requests.get(&id) else { return None };
+        Some(tombstone.version.owner)
     }
 
     /// Returns the version under which this node owns a request.
     pub fn version(&self, id: RequestId) -> Option<Version> {
-        let Some(Row::Owned(owned)) = self.rows.get(&id) else { return None };
+        let Some(State::Owned(owned)) = self.requests.get(&id) else { return None };
         Some(owned.version)
     }
 
-    /// Returns all tokens of an owned request, shown to readers or not.
+    /// Returns all tokens of an owned request, whether readers have been shown them or not.
     pub fn tokens(&self, id: RequestId) -> Option<&[String]> {
-        let Some(Row::Owned(owned)) = self.rows.get(&id) else { return None };
+        let Some(State::Owned(owned)) = self.requests.get(&id) else { return None };
         Some(&owned.tokens)
     }
 
-    /// Returns the number of copies held for other nodes.
-    pub fn held(&self) -> usize {
-        self.rows.values().filter(|row| matches!(row, Row::Held(_))).count()
+    /// Returns the number of copies that this node holds for others.
+    pub fn held_copies(&self) -> usize {
+        self.requests.values().filter(|state| matches!(state, State::Held(_))).count()
     }
 
-    pub(super) fn running(&mut self, id: RequestId, version: Version) -> Option<&mut Owned> {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return None };
-        // The generation rises with each new holder; the run goes on under it.
-        let current = owned.version.epoch == version.epoch && owned.version.owner == version.owner;
-        (current && owned.handing.is_none() && owned.end.is_none()).then_some(owned)
+    pub(super) fn current_run(&mut self, id: RequestId, version: Version) -> Option<&mut Owned> {
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return None };
+        // The generation rises with each new holder while the run continues, so it is not compared.
+        let is_current =
+            owned.version.epoch == version.epoch && owned.version.owner == version.owner;
+        (is_current && owned.handover.is_none() && owned.end.is_none()).then_some(owned)
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn own_from(
+    pub(super) fn take_ownership(
         &mut self,
         now: Stamp,
         id: RequestId,
         version: Version,
         body: Bytes,
         tokens: Vec<String>,
-        before: Option<Incarnation>,
+        previous_owner: Option<Incarnation>,
         out: &mut Vec<Action>,
     ) {
         let owned = Owned {
@@ -252,135 +257,139 @@
             released: 0,
             stage: Stage::Copying,
             holder: None,
-            former: None,
-            failed: Vec::new(),
-            alone: None,
-            unprotected: false,
-            since: now,
-            handing: None,
-            before,
-            claims: if before.is_some() { self.options.claims } else { 0 },
-            claimed_at: Stamp(0),
+            leaving_holder: None,
+            failed_holders: Vec::new(),
+            without_holder_since: None,
+            release_uncopied: false,
+            owned_since: now,
+            handover: None,
+            previous_owner,
+            claims_left: if previous_owner.is_some() { self.options.claim_rounds } else { 0 },
+            last_claim: Stamp(0),
         };
-        self.rows.insert(id, Row::Owned(Box::new(owned)));
+        self.requests.insert(id, State::Owned(Box::new(owned)));
         self.choose_holder(now, id, out);
     }
 
-    // The old holder may still be alive and take over later. It is told to drop its copy, and
-    // the new one carries a higher generation, so that the later copy wins where both take over.
+    // The old holder may still be alive and take over later. It is asked to drop its copy, and the
+    // new copy carries a higher generation, so that the newer copy wins if both take over.
     pub(super) fn choose_holder(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
         self.replace_holder(now, id, None, out);
     }
 
-    /// Puts a new holder in place of the present one: `wanted`, if it is able to, or the best.
+    /// Replaces the holder by `preferred`, if that is a known peer, or by the one that ranks first.
     pub(super) fn replace_holder(
         &mut self,
         now: Stamp,
         id: RequestId,
-        wanted: Option<Incarnation>,
+        preferred: Option<Incarnation>,
         out: &mut Vec<Action>,
     ) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
-        if let Some(before) = owned.holder.take() {
-            // A leaving holder keeps its copy until the new one is there.
-            if self.peers.is_leaving(before.peer) {
-                owned.former = Some((before.peer, owned.version));
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
+        if let Some(old) = owned.holder.take() {
+            // A leaving holder keeps its copy until the new holder has one.
+            if self.peers.is_leaving(old.peer) {
+                owned.leaving_holder = Some((old.peer, owned.version));
             } else {
-                out.push(Action::Send(before.peer, Message::Drop { id, version: owned.version }));
+                out.push(Action::Send(old.peer, Message::Drop { id, version: owned.version }));
             }
             owned.version.generation += 1;
         }
-        let waited = self.options.accept_timeout <= now.since(owned.since);
-        let wanted = wanted.filter(|wanted| self.peers.contains(*wanted));
-        let peer = wanted.or_else(|| self.peers.holder_for(id, &owned.failed));
-        let peer = peer.filter(|_| owned.stage == Stage::Settled || !waited);
+        let timed_out = self.options.accept_timeout <= now.since(owned.owned_since);
+        let preferred = preferred.filter(|peer| self.peers.contains(*peer));
+        let peer = preferred.or_else(|| self.peers.best_holder(id, &owned.failed_holders));
+        let peer = peer.filter(|_| owned.stage == Stage::Settled || !timed_out);
         let Some(peer) = peer else {
-            self.go_alone(now, id, out);
+            self.continue_without_holder(now, id, out);
             return;
         };
         owned.holder = Some(Holder::new(peer));
-        owned.alone = None;
-        owned.unprotected = false;
+        owned.without_holder_since = None;
+        owned.release_uncopied = false;
         self.dirty.insert(id);
         self.flush(now, id, out);
     }
 
-    // An owner that wakes from a long pause sees no members at first, while its holder has taken
-    // the request over. Were it to show tokens at once, a reader would get words that the new
-    // owner writes differently. The members come back, and with them the news, in a moment.
-    fn go_alone(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
-        let since = *owned.alone.get_or_insert(now);
-        let had_copy = owned.stage == Stage::Settled || owned.before.is_some();
+    // After a long pause an owner sees no members at first, although its holder may have taken the
+    // request over. If it released tokens at once, a reader would get text that differs from the
+    // new owner's. The members, and then the new owner's claim, are received shortly after, so the
+    // owner first waits for the holder timeout.
+    fn continue_without_holder(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
+        let since = *owned.without_holder_since.get_or_insert(now);
+        let had_copy = owned.stage == Stage::Settled || owned.previous_owner.is_some();
         if had_copy && now.since(since) < self.options.holder_timeout {
             return;
         }
-        owned.unprotected = true;
-        self.settle_stage(now, id, out);
+        owned.release_uncopied = true;
+        self.mark_settled(now, id, out);
         self.release_all(now, id, out);
     }
 
-    pub(super) fn settle_stage(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
+    pub(super) fn mark_settled(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
         if owned.stage == Stage::Settled {
             return;
         }
         owned.stage = Stage::Settled;
         let copied =
             owned.holder.as_ref().map_or(CopyLocation::Nowhere, |it| CopyLocation::At(it.peer));
-        if owned.before.is_none() {
+        if owned.previous_owner.is_none() {
             out.push(Action::Accepted(id, copied));
         }
-        self.claim(now, id, out);
+        self.send_claims(now, id, out);
     }
 
-    // A new owner is announced only once it has a copy of its own: whoever hears of it lets go of
-    // the state, and a new owner that died before its first copy would then take it along.
-    pub(super) fn claim(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
-        let due = owned.claimed_at == Stamp(0) || self.options.retry <= now.since(owned.claimed_at);
-        if owned.claims == 0 || owned.stage != Stage::Settled || !due {
+    // A new owner sends its claim only once a peer holds its copy: a node that receives the claim
+    // drops its own copy, and if the new owner then died without a copy the request would be lost.
+    pub(super) fn send_claims(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
+        let is_due = owned.last_claim == Stamp(0)
+            || self.options.retry_interval <= now.since(owned.last_claim);
+        if owned.claims_left == 0 || owned.stage != Stage::Settled || !is_due {
             return;
         }
-        owned.claims -= 1;
-        owned.claimed_at = now;
+        owned.claims_left -= 1;
+        owned.last_claim = now;
         let holder = owned.holder.as_ref().map(|holder| holder.peer);
-        let mut to = self.peers.likely_holders(id, self.options.claimed_to);
-        to.retain(|peer| Some(*peer) != holder && Some(*peer) != owned.before);
-        to.extend(owned.before);
+        let mut to = self.peers.likely_holders(id, self.options.claim_fanout);
+        to.retain(|peer| Some(*peer) != holder && Some(*peer) != owned.previous_owner);
+        to.extend(owned.previous_owner);
         for peer in to {
             out.push(Action::Send(peer, Message::Claim { id, version: owned.version }));
         }
     }
 
     pub(super) fn flush(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
-        if owned.handing.is_some() {
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
+        if owned.handover.is_some() {
             return;
         }
         let Some(holder) = &mut owned.holder else {
-            if owned.unprotected {
+            if owned.release_uncopied {
                 self.release_all(now, id, out);
             }
             return;
         };
-        let behind = !holder.has || holder.acked < owned.tokens.len() || owned.end.is_some();
-        if !behind {
+        let is_behind =
+            !holder.has_copy || holder.acked < owned.tokens.len() || owned.end.is_some();
+        if !is_behind {
             return;
         }
-        let waits = holder.in_flight.is_some_and(|at| now.since(at) < self.options.retry);
-        if waits {
+        let is_waiting =
+            holder.in_flight_since.is_some_and(|at| now.since(at) < self.options.retry_interval);
+        if is_waiting {
             return;
         }
-        if holder.has && now.since(holder.last_sent) < self.options.checkpoint_interval {
+        if holder.has_copy && now.since(holder.last_sent) < self.options.checkpoint_interval {
             self.dirty.insert(id);
             return;
         }
-        holder.in_flight = Some(now);
+        holder.in_flight_since = Some(now);
         holder.last_sent = now;
-        holder.silent = holder.silent.or(Some(now));
+        holder.awaiting_since = holder.awaiting_since.or(Some(now));
         let (version, end) = (owned.version, owned.end.clone());
-        let message = match holder.has {
+        let message = match holder.has_copy {
             true => {
                 let tokens = owned.tokens[holder.acked..].to_vec();
                 Message::Progress { id, version, from: holder.acked, tokens, end }
@@ -393,9 +402,9 @@
         out.push(Action::Send(holder.peer, message));
     }
 
-    /// Shows readers the tokens before number `until`.
+    /// Shows readers the tokens up to index `until`, exclusive.
     pub(super) fn release(&mut self, id: RequestId, until: usize, out: &mut Vec<Action>) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
         let until = until.min(owned.tokens.len());
         if until <= owned.released {
             return;
@@ -407,15 +416,19 @@
 
     pub(super) fn release_all(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
         self.release(id, usize::MAX, out);
-        self.end(now, id, out);
+        self.deliver_end(now, id, out);
     }
 
-    pub(super) fn end(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
+    pub(super) fn deliver_end(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
         let Some(end) = owned.end.take() else { return };
-        let gone =
-            Gone { version: owned.version, ended: Some(owned.tokens.len()), passed: None, at: now };
-        self.rows.insert(id, Row::Gone(gone));
+        let tombstone = Tombstone {
+            version: owned.version,
+            final_tokens: Some(owned.tokens.len()),
+            passed_to: None,
+            created_at: now,
+        };
+        self.requests.insert(id, State::Tombstone(tombstone));
         out.push(Action::End(id, end));
     }
 }
--- a/crates/coord/src/ownership/message.rs
+++ b/crates/coord/src/ownership/message.rs
@@ -1,83 +1,83 @@
-//! The messages between an owner, a holder and others who may believe to be either.
+//! The messages that nodes exchange about the ownership of requests.
 
 use bulrushhall_core::{Incarnation, RequestId};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// A `Version` orders the claims to one request: the greatest holds.
+/// A `Version` orders the claims to one request: the greatest wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
     /// The count of takeovers and handovers.
     pub epoch: u32,
-    /// The count of holders within the epochs so far; of two holders the later knows more.
+    /// The count of holder changes over all epochs; of two holders the later has more of the state.
     pub generation: u32,
-    /// The owner; it settles the order of two takeovers that are equal otherwise.
+    /// The owner; it breaks the tie between two takeovers with equal epoch and generation.
     pub owner: Incarnation,
 }
 
-/// A `Message` passes between two nodes; each may be lost, repeated, late or out of order.
+/// A `Message` is sent from one node to another; it may be lost, duplicated, delayed or reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The owner gives the whole state to a holder.
+    /// The owner, or a leaving holder, sends the whole state of the request to a new holder.
     Copy {
         /// The request.
         id: RequestId,
         /// The owner's version.
         version: Version,
-        /// The request as its owner needs it.
+        /// The serialized request that its owner runs.
         body: Bytes,
-        /// The tokens so far.
+        /// The tokens produced so far.
         tokens: Vec<String>,
-        /// How the answer ended, if it did.
+        /// The end of the response, once it has ended.
         end: Option<Bytes>,
     },
-    /// The owner adds to the state that a holder has.
+    /// The owner appends to the state that a holder has: a checkpoint.
     Progress {
         /// The request.
         id: RequestId,
         /// The owner's version.
         version: Version,
-        /// The number of the first token in the message.
+        /// The index of the first token in the message.
         from: usize,
-        /// The tokens from there on.
+        /// The tokens from that index on.
         tokens: Vec<String>,
-        /// How the answer ended, if it did.
+        /// The end of the response, once it has ended.
         end: Option<Bytes>,
     },
-    /// The holder has this much.
+    /// The holder acknowledges the state that it has.
     Ack {
         /// The request.
         id: RequestId,
-        /// The version that is answered.
+        /// The version of the message that is answered.
         version: Version,
         /// The number of tokens that the holder has.
         count: usize,
-        /// Whether the holder has the end.
+        /// Whether the holder has the end of the response.
         ended: bool,
     },
-    /// The receiver of progress has nothing to add it to.
+    /// The receiver of progress has no copy to append it to.
     Missing {
         /// The request.
         id: RequestId,
-        /// The version that is answered.
+        /// The version of the message that is answered.
         version: Version,
     },
-    /// The owner wants the receiver to own the request under a new version.
+    /// The owner offers the request to the receiver, which is to own it under a new version.
     Offer {
         /// The request.
         id: RequestId,
-        /// The version that the receiver is to own it under.
+        /// The version under which the receiver is to own it.
         version: Version,
-        /// The request as its owner needs it.
+        /// The serialized request that its owner runs.
         body: Bytes,
-        /// The tokens so far.
+        /// The tokens produced so far.
         tokens: Vec<String>,
     },
-    /// The sender owns the request and has had it copied.
+    /// Names the owner that the sender knows of; a new owner sends it once its request is copied.
     Claim {
         /// The request.
         id: RequestId,
-        /// The version under which it is owned.
+        /// The version under which the request is owned.
         version: Version,
     },
     /// A holder asks whether its copy is still needed.
@@ -87,26 +87,26 @@
         /// The version of the copy.
         version: Version,
     },
-    /// A leaving holder has given its copy to another peer and takes no more progress.
+    /// A leaving holder has passed its copy on to another peer and accepts no more progress.
     PassedOn {
         /// The request.
         id: RequestId,
         /// The version of the copy.
         version: Version,
-        /// The peer that it was given to.
+        /// The peer that it was passed on to.
         to: Incarnation,
     },
-    /// The receiver's copy of this version or an older one is not needed any more.
+    /// The receiver's copy is obsolete if it has this version or an older one.
     Drop {
         /// The request.
         id: RequestId,
-        /// The newest version whose copies are not needed.
+        /// The newest version whose copies are obsolete.
         version: Version,
     },
 }
 
 impl Message {
-    /// Returns the request that the message is about.
+    /// Returns the request that the message concerns.
     pub fn id(&self) -> RequestId {
         match self {
             Message::Copy { id, .. }
--- a/crates/coord/src/ownership/mod.rs
+++ b/crates/coord/src/ownership/mod.rs
@@ -1,11 +1,12 @@
-//! Who owns an accepted request, who holds its copy, and how ownership passes on.
+//! Ownership of accepted requests: which node runs a request, which peer holds its copy, and how
+//! ownership moves between nodes.
 
 mod machine;
 mod message;
 mod options;
 mod peers;
 mod receive;
-mod row;
+mod state;
 mod sweep;
 
 pub use machine::{Action, CopyLocation, Ownership};
--- a/crates/coord/src/ownership/receive.rs
+++ b/crates/coord/src/ownership/receive.rs
@@ -1,4 +1,4 @@
-//! What a node does with another node's messages.
+//! How a node acts on messages of other nodes.
 
 use bulrushhall_core::{Incarnation, RequestId, Stamp};
 use bytes::Bytes;
@@ -6,19 +6,19 @@
 use super::{
     machine::{Action, Ownership},
     message::{Message, Version},
-    row::{Gone, Held, Row, Stage},
+    state::{Held, Stage, State, Tombstone},
 };
 
 impl Ownership {
-    /// Acts on a message of another node.
+    /// Handles a message of another node.
     pub fn receive(&mut self, now: Stamp, from: Incarnation, message: Message) -> Vec<Action> {
         let mut out = Vec::new();
         match message {
             Message::Copy { id, version, body, tokens, end } => {
-                self.on_copy(now, from, id, version, Copied { body, tokens, end }, &mut out);
+                self.on_copy(now, from, id, version, CopiedState { body, tokens, end }, &mut out);
             }
             Message::Progress { id, version, from: first, tokens, end } => {
-                let added = Added { first, tokens, end };
+                let added = AddedTokens { first, tokens, end };
                 self.on_progress(now, from, id, version, added, &mut out);
             }
             Message::Ack { id, version, count, ended } => {
@@ -30,14 +30,14 @@
             }
             Message::Claim { id, version } => self.on_claim(now, from, id, version, &mut out),
             Message::PassedOn { id, version, to } => {
-                self.on_passed(now, from, id, version, to, &mut out);
+                self.on_passed_on(now, from, id, version, to, &mut out);
             }
             Message::Ask { id, version } => self.on_ask(from, id, version, &mut out),
             Message::Drop { id, version } => {
-                if let Some(Row::Held(held)) = self.rows.get(&id)
+                if let Some(State::Held(held)) = self.requests.get(&id)
                     && held.version <= version
                 {
-                    self.rows.remove(&id);
+                    self.requests.remove(&id);
                 }
             }
         }
@@ -50,44 +50,53 @@
         from: Incarnation,
         id: RequestId,
         version: Version,
-        copied: Copied,
+        copied: CopiedState,
         out: &mut Vec<Action>,
     ) {
-        if self.tell_passed(from, id, version, out) {
+        if self.report_passed_on(from, id, version, out) {
             return;
         }
-        match self.rows.get_mut(&id) {
-            Some(Row::Gone(gone)) if gone.ended.is_some() && version <= gone.version => {
-                let count = gone.ended.unwrap_or(0);
-                let message = match version == gone.version {
+        match self.requests.get_mut(&id) {
+            Some(State::Tombstone(tombstone))
+                if tombstone.final_tokens.is_some() && version <= tombstone.version =>
+            {
+                let count = tombstone.final_tokens.unwrap_or(0);
+                let message = match version == tombstone.version {
                     true => Message::Ack { id, version, count, ended: true },
-                    false => Message::Claim { id, version: gone.version },
+                    false => Message::Claim { id, version: tombstone.version },
                 };
                 out.push(Action::Send(from, message));
                 return;
             }
-            Some(Row::Held(held)) if held.version == version => {
-                held.heard = now;
+            Some(State::Held(held)) if held.version == version => {
+                held.last_received = now;
                 if held.tokens.len() < copied.tokens.len() {
                     held.tokens = copied.tokens;
                 }
-                self.held_end(now, id, copied.end, out);
-                self.ack(from, id, version, out);
+                self.finish_held(now, id, copied.end, out);
+                self.send_ack(from, id, version, out);
                 return;
             }
-            Some(row) if version < row.version() => {
-                self.refuse(from, id, out);
+            Some(state) if version < state.version() => {
+                self.send_known_version(from, id, out);
                 return;
             }
-            Some(Row::Owned(_)) => self.give_up(now, id, version, out),
-            Some(Row::Gone(_) | Row::Held(_)) | None => {}
+            Some(State::Owned(_)) => self.yield_to(now, id, version, out),
+            Some(State::Tombstone(_) | State::Held(_)) | None => {}
         }
-        let Copied { body, tokens, end } = copied;
-        let held = Held { version, body, tokens, heard: now, missing_since: None, passed: None };
-        self.rows.insert(id, Row::Held(held));
-        self.note_missing(now, id);
-        self.held_end(now, id, end, out);
-        self.ack(from, id, version, out);
+        let CopiedState { body, tokens, end } = copied;
+        let held = Held {
+            version,
+            body,
+            tokens,
+            last_received: now,
+            owner_missing_since: None,
+            passed_to: None,
+        };
+        self.requests.insert(id, State::Held(held));
+        self.note_owner_missing(now, id);
+        self.finish_held(now, id, end, out);
+        self.send_ack(from, id, version, out);
     }
 
     fn on_progress(
@@ -96,33 +105,35 @@
         from: Incarnation,
         id: RequestId,
         version: Version,
-        added: Added,
+        added: AddedTokens,
         out: &mut Vec<Action>,
     ) {
-        if self.tell_passed(from, id, version, out) {
+        if self.report_passed_on(from, id, version, out) {
             return;
         }
-        match self.rows.get_mut(&id) {
-            Some(Row::Held(held)) if held.version == version => {
-                held.heard = now;
+        match self.requests.get_mut(&id) {
+            Some(State::Held(held)) if held.version == version => {
+                held.last_received = now;
                 if added.first <= held.tokens.len() {
                     let known = held.tokens.len() - added.first;
                     held.tokens.extend(added.tokens.into_iter().skip(known));
-                    self.held_end(now, id, added.end, out);
+                    self.finish_held(now, id, added.end, out);
                 }
-                self.ack(from, id, version, out);
+                self.send_ack(from, id, version, out);
             }
-            Some(Row::Gone(gone)) if gone.ended.is_some() && gone.version == version => {
-                self.ack(from, id, version, out);
+            Some(State::Tombstone(tombstone))
+                if tombstone.final_tokens.is_some() && tombstone.version == version =>
+            {
+                self.send_ack(from, id, version, out);
             }
-            Some(row) if version < row.version() => self.refuse(from, id, out),
+            Some(state) if version < state.version() => self.send_known_version(from, id, out),
             _ => out.push(Action::Send(from, Message::Missing { id, version })),
         }
     }
 
-    // Tokens are shown to readers only once the holder has them. An owner that lost the request
-    // without knowing it gets no acknowledgement, so its readers see nothing that the new owner
-    // would write differently.
+    // Tokens are shown to readers only once the holder has them. An owner that has lost the request
+    // without knowing it gets no acknowledgement, so its readers see no text that differs from the
+    // new owner's.
     fn on_ack(
         &mut self,
         now: Stamp,
@@ -132,63 +143,65 @@
         (count, ended): (usize, bool),
         out: &mut Vec<Action>,
     ) {
-        self.let_go(now, from, id, version);
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
+        self.drop_passed_copy(now, from, id, version);
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
         if owned.version != version {
             return;
         }
         let Some(holder) = owned.holder.as_mut().filter(|holder| holder.peer == from) else {
             return;
         };
-        holder.has = true;
-        holder.in_flight = None;
+        holder.has_copy = true;
+        holder.in_flight_since = None;
         holder.undelivered = 0;
-        if let Some((former, version)) = owned.former.take() {
-            out.push(Action::Send(former, Message::Drop { id, version }));
+        if let Some((leaving, version)) = owned.leaving_holder.take() {
+            out.push(Action::Send(leaving, Message::Drop { id, version }));
         }
         holder.acked = holder.acked.max(count.min(owned.tokens.len()));
         let acked = holder.acked;
-        let all = acked == owned.tokens.len() && (ended || owned.end.is_none());
-        holder.silent = if all { None } else { Some(now) };
-        self.settle_stage(now, id, out);
+        let all_acked = acked == owned.tokens.len() && (ended || owned.end.is_none());
+        holder.awaiting_since = if all_acked { None } else { Some(now) };
+        self.mark_settled(now, id, out);
         self.release(id, acked, out);
-        if ended && all {
-            self.end(now, id, out);
+        if ended && all_acked {
+            self.deliver_end(now, id, out);
             return;
         }
         self.flush(now, id, out);
     }
 
-    // A copy that was passed on is let go of, so that only one of the two takes over.
-    fn let_go(&mut self, now: Stamp, from: Incarnation, id: RequestId, version: Version) {
-        let Some(Row::Held(held)) = self.rows.get(&id) else { return };
-        if held.version != version || held.passed.is_none_or(|(to, _)| to != from) {
+    // Once the new holder has acknowledged a copy that was passed on, the old copy is dropped, so
+    // that only one of the two takes over.
+    fn drop_passed_copy(&mut self, now: Stamp, from: Incarnation, id: RequestId, version: Version) {
+        let Some(State::Held(held)) = self.requests.get(&id) else { return };
+        if held.version != version || held.passed_to.is_none_or(|(to, _)| to != from) {
             return;
         }
-        let gone = Gone { version, ended: None, passed: Some(from), at: now };
-        self.rows.insert(id, Row::Gone(gone));
+        let tombstone =
+            Tombstone { version, final_tokens: None, passed_to: Some(from), created_at: now };
+        self.requests.insert(id, State::Tombstone(tombstone));
     }
 
-    // Were progress taken on after the copy was passed on, the owner would show its readers
-    // tokens that the peer which now has the copy has never seen, and would write differently.
-    fn tell_passed(
+    // If progress were acknowledged after the copy was passed on, the owner would show its readers
+    // tokens that the peer with the copy never received, and that peer would continue differently.
+    fn report_passed_on(
         &self,
         from: Incarnation,
         id: RequestId,
         version: Version,
         out: &mut Vec<Action>,
     ) -> bool {
-        let (known, to) = match self.rows.get(&id) {
-            Some(Row::Held(held)) => (held.version, held.passed.map(|(to, _)| to)),
-            Some(Row::Gone(gone)) => (gone.version, gone.passed),
-            Some(Row::Owned(_)) | None => return false,
+        let (known, to) = match self.requests.get(&id) {
+            Some(State::Held(held)) => (held.version, held.passed_to.map(|(to, _)| to)),
+            Some(State::Tombstone(tombstone)) => (tombstone.version, tombstone.passed_to),
+            Some(State::Owned(_)) | None => return false,
         };
         let Some(to) = to.filter(|_| known == version) else { return false };
         out.push(Action::Send(from, Message::PassedOn { id, version, to }));
         true
     }
 
-    fn on_passed(
+    fn on_passed_on(
         &mut self,
         now: Stamp,
         from: Incarnation,
@@ -197,12 +210,12 @@
         to: Incarnation,
         out: &mut Vec<Action>,
     ) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
-        let current = owned.version == version && owned.handing.is_none();
-        if !current || owned.holder.as_ref().is_none_or(|holder| holder.peer != from) {
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
+        let is_current = owned.version == version && owned.handover.is_none();
+        if !is_current || owned.holder.as_ref().is_none_or(|holder| holder.peer != from) {
             return;
         }
-        owned.failed.push(from);
+        owned.failed_holders.push(from);
         self.replace_holder(now, id, Some(to), out);
     }
 
@@ -214,15 +227,15 @@
         version: Version,
         out: &mut Vec<Action>,
     ) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
         let Some(holder) = owned.holder.as_mut().filter(|holder| holder.peer == from) else {
             return;
         };
-        if owned.version != version || !holder.has {
+        if owned.version != version || !holder.has_copy {
             return;
         }
-        holder.has = false;
-        holder.in_flight = None;
+        holder.has_copy = false;
+        holder.in_flight_since = None;
         self.flush(now, id, out);
     }
 
@@ -238,21 +251,21 @@
         if version.owner != self.own {
             return;
         }
-        if let Some(row) = self.rows.get(&id) {
-            let known = row.version();
-            // The generation of a version that is owned here has risen since the offer.
-            let same = known.epoch == version.epoch && known.owner == version.owner;
-            if same || version <= known {
-                self.refuse(from, id, out);
+        if let Some(state) = self.requests.get(&id) {
+            let known = state.version();
+            // The generation may have risen since the offer if the request is already owned here.
+            let is_same = known.epoch == version.epoch && known.owner == version.owner;
+            if is_same || version <= known {
+                self.send_known_version(from, id, out);
                 return;
             }
-            if let Row::Owned(_) = row {
-                self.give_up(now, id, version, out);
+            if let State::Owned(_) = state {
+                self.yield_to(now, id, version, out);
             }
         }
         let start = Action::Start { id, version, body: body.clone(), tokens: tokens.clone() };
         out.push(start);
-        self.own_from(now, id, version, body, tokens, Some(from), out);
+        self.take_ownership(now, id, version, body, tokens, Some(from), out);
     }
 
     fn on_claim(
@@ -263,81 +276,98 @@
         version: Version,
         out: &mut Vec<Action>,
     ) {
-        let Some(row) = self.rows.get(&id) else {
-            // The old owner may yet ask for a copy to be held here; it must learn of the new one.
-            let gone = Gone { version, ended: None, passed: None, at: now };
-            self.rows.insert(id, Row::Gone(gone));
+        let Some(state) = self.requests.get(&id) else {
+            // The previous owner may still send a copy here; with the tombstone it is
+            // answered with the new one.
+            let tombstone =
+                Tombstone { version, final_tokens: None, passed_to: None, created_at: now };
+            self.requests.insert(id, State::Tombstone(tombstone));
             return;
         };
-        let known = row.version();
-        match row {
-            Row::Owned(owned) => {
-                let handed =
-                    owned.handing.as_ref().is_some_and(|it| it.version.epoch <= version.epoch);
-                if known < version || handed {
-                    self.give_up(now, id, version, out);
+        let known = state.version();
+        match state {
+            State::Owned(owned) => {
+                let is_handed_over =
+                    owned.handover.as_ref().is_some_and(|it| it.version.epoch <= version.epoch);
+                if known < version || is_handed_over {
+                    self.yield_to(now, id, version, out);
                 } else if known != version {
-                    self.refuse(from, id, out);
+                    self.send_known_version(from, id, out);
                 }
             }
-            Row::Held(_) if known < version => {
-                let gone = Gone { version, ended: None, passed: None, at: now };
-                self.rows.insert(id, Row::Gone(gone));
+            State::Held(_) if known < version => {
+                let tombstone =
+                    Tombstone { version, final_tokens: None, passed_to: None, created_at: now };
+                self.requests.insert(id, State::Tombstone(tombstone));
             }
-            Row::Gone(gone) if known < version && gone.ended.is_none() => {
-                let gone = Gone { version, ended: None, passed: None, at: now };
-                self.rows.insert(id, Row::Gone(gone));
+            State::Tombstone(tombstone) if known < version && tombstone.final_tokens.is_none() => {
+                let tombstone =
+                    Tombstone { version, final_tokens: None, passed_to: None, created_at: now };
+                self.requests.insert(id, State::Tombstone(tombstone));
             }
-            Row::Held(_) | Row::Gone(_) => {}
+            State::Held(_) | State::Tombstone(_) => {}
         }
     }
 
     fn on_ask(&self, from: Incarnation, id: RequestId, version: Version, out: &mut Vec<Action>) {
-        let needed = match self.rows.get(&id) {
-            // The copy of a former holder is needed until the present one has its own.
-            Some(Row::Owned(owned)) => {
-                owned.holder.as_ref().is_none_or(|it| it.peer == from || !it.has)
+        let is_needed = match self.requests.get(&id) {
+            // The copy of an earlier holder is needed until the present holder has its own.
+            Some(State::Owned(owned)) => {
+                owned.holder.as_ref().is_none_or(|it| it.peer == from || !it.has_copy)
             }
-            Some(Row::Held(_) | Row::Gone(_)) | None => false,
+            Some(State::Held(_) | State::Tombstone(_)) | None => false,
         };
-        if !needed {
+        if !is_needed {
             out.push(Action::Send(from, Message::Drop { id, version }));
         }
     }
 
-    fn held_end(&mut self, now: Stamp, id: RequestId, end: Option<Bytes>, out: &mut Vec<Action>) {
+    fn finish_held(
+        &mut self,
+        now: Stamp,
+        id: RequestId,
+        end: Option<Bytes>,
+        out: &mut Vec<Action>,
+    ) {
         let Some(end) = end else { return };
-        let Some(Row::Held(held)) = self.rows.remove(&id) else { return };
+        let Some(State::Held(held)) = self.requests.remove(&id) else { return };
         let Held { version, body, tokens, .. } = held;
-        let gone = Gone { version, ended: Some(tokens.len()), passed: None, at: now };
-        self.rows.insert(id, Row::Gone(gone));
+        let tombstone = Tombstone {
+            version,
+            final_tokens: Some(tokens.len()),
+            passed_to: None,
+            created_at: now,
+        };
+        self.requests.insert(id, State::Tombstone(tombstone));
         out.push(Action::Keep { id, body, tokens, end });
     }
 
-    fn ack(&self, to: Incarnation, id: RequestId, version: Version, out: &mut Vec<Action>) {
-        let (count, ended) = match self.rows.get(&id) {
-            Some(Row::Held(held)) => (held.tokens.len(), false),
-            Some(Row::Gone(gone)) => (gone.ended.unwrap_or(0), gone.ended.is_some()),
-            Some(Row::Owned(_)) | None => return,
+    fn send_ack(&self, to: Incarnation, id: RequestId, version: Version, out: &mut Vec<Action>) {
+        let (count, ended) = match self.requests.get(&id) {
+            Some(State::Held(held)) => (held.tokens.len(), false),
+            Some(State::Tombstone(tombstone)) => {
+                (tombstone.final_tokens.unwrap_or(0), tombstone.final_tokens.is_some())
+            }
+            Some(State::Owned(_)) | None => return,
         };
         out.push(Action::Send(to, Message::Ack { id, version, count, ended }));
     }
 
-    // An owner that has no copy of its own yet keeps silent: the sender may be the only other
-    // one who still has the state.
-    fn refuse(&self, to: Incarnation, id: RequestId, out: &mut Vec<Action>) {
-        let Some(row) = self.rows.get(&id) else { return };
-        if let Row::Owned(owned) = row
+    // An owner whose request is not copied yet sends nothing: the sender may be the only other node
+    // that still has the state.
+    fn send_known_version(&self, to: Incarnation, id: RequestId, out: &mut Vec<Action>) {
+        let Some(state) = self.requests.get(&id) else { return };
+        if let State::Owned(owned) = state
             && owned.stage == Stage::Copying
         {
             return;
         }
-        out.push(Action::Send(to, Message::Claim { id, version: row.version() }));
+        out.push(Action::Send(to, Message::Claim { id, version: state.version() }));
     }
 
-    fn give_up(&mut self, now: Stamp, id: RequestId, to: Version, out: &mut Vec<Action>) {
-        let Some(Row::Owned(owned)) = self.rows.get(&id) else { return };
-        if owned.handing.is_none() {
+    fn yield_to(&mut self, now: Stamp, id: RequestId, to: Version, out: &mut Vec<Action>) {
+        let Some(State::Owned(owned)) = self.requests.get(&id) else { return };
+        if owned.handover.is_none() {
             out.push(Action::Stop(id));
         }
         if let Some(holder) = &owned.holder
@@ -347,24 +377,32 @@
             out.push(Action::Send(holder.peer, drop));
         }
         out.push(Action::Moved(id, to.owner));
-        self.rows.insert(id, Row::Gone(Gone { version: to, ended: None, passed: None, at: now }));
+        self.requests.insert(
+            id,
+            State::Tombstone(Tombstone {
+                version: to,
+                final_tokens: None,
+                passed_to: None,
+                created_at: now,
+            }),
+        );
     }
 
-    fn note_missing(&mut self, now: Stamp, id: RequestId) {
-        let Some(Row::Held(held)) = self.rows.get_mut(&id) else { return };
+    fn note_owner_missing(&mut self, now: Stamp, id: RequestId) {
+        let Some(State::Held(held)) = self.requests.get_mut(&id) else { return };
         if !self.peers.contains(held.version.owner) {
-            held.missing_since = Some(now);
+            held.owner_missing_since = Some(now);
         }
     }
 }
 
-struct Copied {
+struct CopiedState {
     body: Bytes,
     tokens: Vec<String>,
     end: Option<Bytes>,
 }
 
-struct Added {
+struct AddedTokens {
     first: usize,
     tokens: Vec<String>,
     end: Option<Bytes>,
--- a/crates/coord/src/ownership/sweep.rs
+++ b/crates/coord/src/ownership/sweep.rs
@@ -1,90 +1,92 @@
-//! What the passing of time and the change of members make of the requests that a node owns or holds.
+//! How a node reacts to elapsed time and to membership changes: takeovers, retries, handovers.
 
 use bulrushhall_core::{RequestId, Stamp};
 
 use super::{
-    machine::{Action, Ownership, UNDELIVERED_MAX},
+    machine::{Action, MAX_UNDELIVERED, Ownership},
     message::{Message, Version},
     peers::Peer,
-    row::{Handing, Held, Row, Stage},
+    state::{Handover, Held, Stage, State},
 };
 
 impl Ownership {
-    pub(super) fn look_at_members(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
-        match self.rows.get_mut(&id) {
-            Some(Row::Owned(owned)) => {
-                let others = self.peers.holder_for(id, &[]).is_some();
+    pub(super) fn apply_members(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
+        match self.requests.get_mut(&id) {
+            Some(State::Owned(owned)) => {
+                let has_other = self.peers.best_holder(id, &[]).is_some();
                 let lost = owned.holder.as_ref().is_some_and(|it| {
-                    !self.peers.contains(it.peer) || others && self.peers.is_leaving(it.peer)
+                    !self.peers.contains(it.peer) || has_other && self.peers.is_leaving(it.peer)
                 });
-                let alone = owned.holder.is_none() && !self.peers.present.is_empty();
-                if owned.handing.is_none() && (lost || alone) {
-                    owned.failed.clear();
+                let can_choose = owned.holder.is_none() && !self.peers.live.is_empty();
+                if owned.handover.is_none() && (lost || can_choose) {
+                    owned.failed_holders.clear();
                     self.choose_holder(now, id, out);
                 }
             }
-            Some(Row::Held(held)) => {
-                let present = self.peers.contains(held.version.owner);
-                held.missing_since = match present {
+            Some(State::Held(held)) => {
+                let is_live = self.peers.contains(held.version.owner);
+                held.owner_missing_since = match is_live {
                     true => None,
-                    false => held.missing_since.or(Some(now)),
+                    false => held.owner_missing_since.or(Some(now)),
                 };
             }
-            Some(Row::Gone(_)) | None => {}
+            Some(State::Tombstone(_)) | None => {}
         }
     }
 
     pub(super) fn sweep_held(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
-        let Some(Row::Held(held)) = self.rows.get_mut(&id) else { return };
-        let Some(since) = held.missing_since else {
-            if self.options.ask <= now.since(held.heard) {
-                held.heard = now;
+        let Some(State::Held(held)) = self.requests.get_mut(&id) else { return };
+        let Some(since) = held.owner_missing_since else {
+            if self.options.ask_delay <= now.since(held.last_received) {
+                held.last_received = now;
                 let ask = Message::Ask { id, version: held.version };
                 out.push(Action::Send(held.version.owner, ask));
             }
             self.pass_on(now, id, out);
             return;
         };
-        let passed = held.passed.is_some_and(|(to, _)| self.peers.contains(to));
-        if passed || now.since(since) < self.options.takeover {
+        let is_passed_on = held.passed_to.is_some_and(|(to, _)| self.peers.contains(to));
+        if is_passed_on || now.since(since) < self.options.takeover_delay {
             self.pass_on(now, id, out);
             return;
         }
-        let Some(Row::Held(Held { version, body, tokens, .. })) = self.rows.remove(&id) else {
+        let Some(State::Held(Held { version, body, tokens, .. })) = self.requests.remove(&id)
+        else {
             return;
         };
-        let before = version.owner;
+        let previous_owner = version.owner;
         let version = Version { epoch: version.epoch + 1, owner: self.own, ..version };
         let start = Action::Start { id, version, body: body.clone(), tokens: tokens.clone() };
         out.push(start);
-        self.own_from(now, id, version, body, tokens, Some(before), out);
+        self.take_ownership(now, id, version, body, tokens, Some(previous_owner), out);
     }
 
-    // A holder and its owner may go one after the other: the holder is told to leave, and the owner
-    // dies before it has copied the request elsewhere. Nobody would have it then, and its caller
-    // would wait in vain. A leaving holder therefore passes on what owners have left with it.
+    // The owner may fail after its holder has been told to leave and before it has copied the
+    // request to another peer. Once the holder has left, no node would have the request and its
+    // caller would get no response. A leaving holder therefore passes on the copies that owners
+    // have left with it.
     fn pass_on(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
         let Some(since) = self.leaving else { return };
-        if now.since(since) < self.options.pass_on {
+        if now.since(since) < self.options.pass_on_delay {
             return;
         }
-        let Some(Row::Held(held)) = self.rows.get_mut(&id) else { return };
-        if held.passed.is_some_and(|(_, at)| now.since(at) < self.options.retry) {
+        let Some(State::Held(held)) = self.requests.get_mut(&id) else { return };
+        if held.passed_to.is_some_and(|(_, at)| now.since(at) < self.options.retry_interval) {
             return;
         }
-        let before = held.passed.map(|(to, _)| to).filter(|to| self.peers.contains(*to));
-        let best = || self.peers.holder_for(id, &[held.version.owner]);
-        let Some(to) = before.or_else(best) else { return };
-        held.passed = Some((to, now));
+        let earlier = held.passed_to.map(|(to, _)| to).filter(|to| self.peers.contains(*to));
+        let best = || self.peers.best_holder(id, &[held.version.owner]);
+        let Some(to) = earlier.or_else(best) else { return };
+        held.passed_to = Some((to, now));
         let (version, body, tokens) = (held.version, held.body.clone(), held.tokens.clone());
         out.push(Action::Send(to, Message::Copy { id, version, body, tokens, end: None }));
     }
 
     pub(super) fn sweep_owned(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
-        if let Some(handing) = &owned.handing {
-            let waited = now.since(handing.sent);
-            if self.options.retry <= waited {
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
+        if let Some(handover) = &owned.handover {
+            let elapsed = now.since(handover.last_sent);
+            if self.options.retry_interval <= elapsed {
                 self.offer(now, id, out);
             }
             return;
@@ -93,69 +95,73 @@
             Stage::Copying => self.options.copy_timeout,
             Stage::Settled => self.options.holder_timeout,
         };
-        let silent = owned.holder.as_ref().and_then(|holder| Some((holder.peer, holder.silent?)));
-        if let Some((peer, since)) = silent
+        let awaiting =
+            owned.holder.as_ref().and_then(|holder| Some((holder.peer, holder.awaiting_since?)));
+        if let Some((peer, since)) = awaiting
             && timeout <= now.since(since)
         {
-            owned.failed.push(peer);
+            owned.failed_holders.push(peer);
             self.choose_holder(now, id, out);
             return;
         }
-        // A peer that failed once may be well again; without a copy any peer is worth a try.
-        let alone = owned.holder.is_none().then_some(owned.alone).flatten();
-        if alone.is_some_and(|since| self.options.holder_timeout <= now.since(since)) {
-            owned.failed.clear();
+        // Without a copy any peer is worth another attempt: one that failed may have recovered.
+        let without_holder = owned.holder.is_none().then_some(owned.without_holder_since).flatten();
+        if without_holder.is_some_and(|since| self.options.holder_timeout <= now.since(since)) {
+            owned.failed_holders.clear();
             self.choose_holder(now, id, out);
         }
-        self.claim(now, id, out);
+        self.send_claims(now, id, out);
         self.flush(now, id, out);
     }
 
     pub(super) fn offer(&mut self, now: Stamp, id: RequestId, out: &mut Vec<Action>) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
         if owned.end.is_some() || owned.stage == Stage::Copying {
             return;
         }
         let mut version = Version { epoch: owned.version.epoch + 1, ..owned.version };
-        let mut first = now;
-        let mut not = Vec::new();
-        if let Some(handing) = &owned.handing {
-            let stale = self.options.holder_timeout <= now.since(handing.first)
-                || UNDELIVERED_MAX <= handing.undelivered;
-            if stale || !self.peers.contains(handing.version.owner) {
-                // The peer may own the request by now. A higher epoch decides for the next one.
-                not.push(handing.version.owner);
-                version.epoch = handing.version.epoch + 1;
+        let mut started_at = now;
+        let mut excluded = Vec::new();
+        if let Some(handover) = &owned.handover {
+            let is_stale = self.options.holder_timeout <= now.since(handover.started_at)
+                || MAX_UNDELIVERED <= handover.undelivered;
+            if is_stale || !self.peers.contains(handover.version.owner) {
+                // The peer may own the request already. With a higher epoch the next peer's claim
+                // wins.
+                excluded.push(handover.version.owner);
+                version.epoch = handover.version.epoch + 1;
             } else {
-                (version, first) = (handing.version, handing.first);
+                (version, started_at) = (handover.version, handover.started_at);
             }
         }
-        let holder = owned.holder.as_ref().filter(|holder| holder.has).map(|holder| holder.peer);
-        let able = |peer: &Peer| !peer.leaving && !not.contains(&peer.incarnation);
+        let holder =
+            owned.holder.as_ref().filter(|holder| holder.has_copy).map(|holder| holder.peer);
+        let is_eligible = |peer: &Peer| !peer.leaving && !excluded.contains(&peer.incarnation);
         let holder = holder.filter(|holder| {
-            self.peers.present.iter().any(|peer| peer.incarnation == *holder && able(peer))
+            self.peers.live.iter().any(|peer| peer.incarnation == *holder && is_eligible(peer))
         });
-        if first == now {
-            let Some(target) = holder.or_else(|| self.peers.holder_for(id, &not)) else {
-                self.take_back(now, id, version, out);
+        if started_at == now {
+            let Some(target) = holder.or_else(|| self.peers.best_holder(id, &excluded)) else {
+                self.resume_here(now, id, version, out);
                 return;
             };
             version.owner = target;
-            if owned.handing.is_none() {
+            if owned.handover.is_none() {
                 out.push(Action::Stop(id));
             }
         }
-        let same = owned.handing.as_ref().filter(|it| it.version.owner == version.owner);
-        let undelivered = same.map_or(0, |it| it.undelivered);
-        owned.handing = Some(Handing { version, first, sent: now, undelivered });
+        let same_peer = owned.handover.as_ref().filter(|it| it.version.owner == version.owner);
+        let undelivered = same_peer.map_or(0, |it| it.undelivered);
+        owned.handover = Some(Handover { version, started_at, last_sent: now, undelivered });
         let (body, tokens) = (owned.body.clone(), owned.tokens.clone());
         out.push(Action::Send(version.owner, Message::Offer { id, version, body, tokens }));
     }
 
-    // The peer that was offered the request is gone and nobody else is there: it goes on here.
-    fn take_back(&mut self, now: Stamp, id: RequestId, version: Version, out: &mut Vec<Action>) {
-        let Some(Row::Owned(owned)) = self.rows.get_mut(&id) else { return };
-        if owned.handing.take().is_none() {
+    // The peer that was offered the request is unavailable and there is no other one, so the
+    // request continues here under the new epoch.
+    fn resume_here(&mut self, now: Stamp, id: RequestId, version: Version, out: &mut Vec<Action>) {
+        let Some(State::Owned(owned)) = self.requests.get_mut(&id) else { return };
+        if owned.handover.take().is_none() {
             return;
         }
         owned.version = Version { owner: self.own, ..version };
--- a/crates/coord/src/relays.rs
+++ b/crates/coord/src/relays.rs
@@ -1,20 +1,22 @@
-//! Which nodes pass on news between availability zones, and whom a node exchanges news with.
+//! Which nodes relay updates between availability zones, and with which nodes each node exchanges
+//! them.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use bulrushhall_core::{NodeName, ZoneName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// `RelayOptions` tell when and how news goes through relays.
+/// `RelayOptions` tell when and how updates are exchanged through relays.
 #[derive(Clone, Debug)]
 pub struct RelayOptions {
-    /// The most nodes that exchange news with each other directly.
+    /// The upper bound of the nodes that all exchange updates with each other directly.
     pub max_flat_nodes: usize,
-    /// The relays of an availability zone that are heard.
-    pub relays: usize,
-    /// The silent nodes that are asked in a zone beside those, in the hope that they are back.
-    pub silent_asked: usize,
-    /// How long a node that was asked may stay silent before others take its place.
+    /// The number of responsive relays of an availability zone.
+    pub relays_per_zone: usize,
+    /// The number of silent nodes of a zone that are contacted in addition, in case they have
+    /// recovered.
+    pub silent_probes: usize,
+    /// How long a node may leave messages unanswered before another one takes its place.
     pub silent_after: Duration,
 }
 
@@ -22,54 +24,55 @@
     fn default() -> Self {
         RelayOptions {
             max_flat_nodes: 16,
-            relays: 1,
-            silent_asked: 2,
+            relays_per_zone: 1,
+            silent_probes: 2,
             silent_after: Duration::from_millis(600),
         }
     }
 }
 
-/// A `Role` is a node's part in passing on news.
+/// A `Role` is a node's part in the exchange of updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// All nodes exchange news with each other.
+    /// It exchanges updates with all other nodes, as each of them does.
     #[default]
     Flat,
-    /// It tells its news to the relays of its zone and learns all others' from them.
+    /// It sends its updates to the relays of its zone and receives those of all other nodes from
+    /// them.
     Member,
-    /// It gathers the news of its zone and exchanges them with the relays of other zones.
+    /// It collects the updates of its zone and exchanges them with the relays of other zones.
     Relay,
 }
 
-/// A `RelayPeer` is another node as it is known when a plan is made.
+/// A `RelayPeer` is a node as an input of a plan.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayPeer<'a> {
     /// The node.
     pub node: &'a NodeName,
     /// Its availability zone.
     pub zone: &'a ZoneName,
-    /// Whether it was asked and did not answer for too long.
+    /// Whether it has left messages unanswered for too long.
     pub silent: bool,
 }
 
-/// A `RelayPlan` tells a node's role and whom it exchanges news with.
+/// A `RelayPlan` is a node's role and the nodes with which it exchanges updates.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayPlan {
     /// Its role.
     pub role: Role,
-    /// The relays of its own zone, itself left out.
+    /// The relays of its own zone, without itself.
     pub near: Vec<NodeName>,
-    /// The relays of all other zones; empty but for a relay.
+    /// The relays of all other zones; empty unless the node is a relay.
     pub far: Vec<NodeName>,
-    /// The node that becomes its zone's relay next; none where that is this node.
+    /// The node that becomes the next relay of its zone; none if that is this node.
     ///
-    /// It keeps what must outlive a relay: a relay that dies with counts of nodes that have ended would take
-    /// these along.
+    /// It keeps a copy of what must outlive the relay: otherwise the counts of nodes that have
+    /// ended would be lost if the relay died.
     pub standby: Option<NodeName>,
 }
 
 impl RelayPlan {
-    /// Returns whether a node is one of the relays that this one exchanges news with.
+    /// Returns whether a node is one of the relays with which this one exchanges updates.
     pub fn includes(&self, node: &NodeName) -> bool {
         self.near.contains(node) || self.far.contains(node)
     }
@@ -78,14 +81,15 @@
 impl RelayOptions {
     /// Returns the plan of a node.
     ///
-    /// All nodes rank the nodes of a zone alike by a hash, so they agree on relays without a message. Where
-    /// their views differ for a moment there are more relays or fewer, which costs messages only.
-    /// `is_asked` tells that another node takes this one for a relay.
+    /// All nodes rank the nodes of a zone by the same hash, so they agree on the relays without
+    /// exchanging messages. While their views differ there are more or fewer relays for a moment,
+    /// which only costs messages. With `requested` this node is a relay because another node
+    /// considers it one.
     pub fn plan<'a>(
         &self,
         own: RelayPeer<'a>,
         others: impl IntoIterator<Item = RelayPeer<'a>>,
-        is_asked: RelayRequested,
+        requested: RelayRequested,
     ) -> RelayPlan {
         let mut zones: BTreeMap<&ZoneName, Vec<RelayPeer<'a>>> = BTreeMap::new();
         zones.entry(own.zone).or_default().push(RelayPeer { silent: false, ..own });
@@ -113,7 +117,7 @@
                 }
             }
         }
-        if is_asked == RelayRequested::Yes {
+        if requested == RelayRequested::Yes {
             plan.role = Role::Relay;
         }
         if plan.role != Role::Relay {
@@ -122,21 +126,22 @@
         plan
     }
 
-    // The first by rank that are not silent, some of the silent ones before them, and the next one.
+    // Returns the relays of a zone, which are the first responsive nodes by rank and some of the
+    // silent ones ranked before them, and the next responsive node after them.
     fn relays_of<'a>(
         &self,
         mut peers: Vec<RelayPeer<'a>>,
     ) -> (Vec<&'a NodeName>, Option<&'a NodeName>) {
         peers.sort_by_cached_key(|peer| (xxh3_64(peer.node.as_str().as_bytes()), peer.node));
         let mut relays = Vec::new();
-        let (mut sound, mut silent) = (0, 0);
+        let (mut responsive, mut silent) = (0, 0);
         for peer in peers {
-            if !peer.silent && sound == self.relays {
+            if !peer.silent && responsive == self.relays_per_zone {
                 return (relays, Some(peer.node));
             }
             if !peer.silent {
-                sound += 1;
-            } else if silent < self.silent_asked && sound < self.relays {
+                responsive += 1;
+            } else if silent < self.silent_probes && responsive < self.relays_per_zone {
                 silent += 1;
             } else {
                 continue;
@@ -147,11 +152,11 @@
     }
 }
 
-/// Whether another node takes this one for a relay.
+/// A `RelayRequested` tells whether another node considers this one a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayRequested {
-    /// It was asked as a relay lately.
+    /// Another node has sent it updates as to a relay recently.
     Yes,
-    /// Nobody asked it as a relay lately.
+    /// No other node has sent it updates as to a relay recently.
     No,
 }
--- a/crates/coord/src/roster.rs
+++ b/crates/coord/src/roster.rs
@@ -1,4 +1,4 @@
-//! The records of all members that one node knows, and when each was last heard of.
+//! The records of all members that one node knows, and when a heartbeat of each was last received.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,35 +6,37 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    gossip::{Beat, Condition, Record, ZoneSummary},
+    gossip::{Condition, Heartbeat, Record, ZoneSummary},
     membership_options::MembershipOptions,
 };
 
-/// A `Known` is one life of a node as it was last heard of.
+/// A `KnownMember` is the last known state of one incarnation of a node.
 #[derive(Clone, Debug)]
-pub(crate) struct Known<V> {
+pub(crate) struct KnownMember<V> {
     pub(crate) record: Record<V>,
     pub(crate) beat: u64,
-    heard: Stamp,
-    removed: Option<Stamp>,
+    last_received: Stamp,
+    removed_at: Option<Stamp>,
 }
 
+/// A `ZoneState` is the last known state of one availability zone.
 #[derive(Clone, Copy, Debug)]
-struct Zone {
+struct ZoneState {
     beat: u64,
-    heard: Stamp,
-    members: usize,
+    last_received: Stamp,
+    live_members: usize,
+    /// The hash of the versions of the zone's records; none once one of them has changed.
     hash: Option<u32>,
 }
 
-/// A `BeatNews` tells what a heartbeat shows.
+/// A `SenderVersion` compares the record that the sender of a heartbeat has with the one held here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum BeatNews {
-    /// The record is as new as the one held.
+pub(crate) enum SenderVersion {
+    /// The sender has the same record.
     Same,
-    /// The other side has a newer record.
+    /// The sender has a newer record.
     Ahead,
-    /// The other side has an older record, or believes in a life that was removed.
+    /// The sender has an older record, or considers an incarnation alive that was removed here.
     Behind,
 }
 
@@ -43,29 +45,30 @@
 pub(crate) struct Roster<V> {
     options: MembershipOptions,
     pub(crate) own: Incarnation,
-    pub(crate) known: BTreeMap<Incarnation, Known<V>>,
+    pub(crate) known: BTreeMap<Incarnation, KnownMember<V>>,
+    /// The latest known incarnation of each node.
     newest: BTreeMap<NodeName, Incarnation>,
-    zones: BTreeMap<ZoneName, Zone>,
+    zones: BTreeMap<ZoneName, ZoneState>,
     pub(crate) now: Stamp,
-    flat: bool,
+    is_flat: bool,
     period: Duration,
 }
 
 impl<V: Clone> Roster<V> {
     pub(crate) fn new(now: Stamp, own: Record<V>, options: MembershipOptions) -> Roster<V> {
         let incarnation = own.incarnation;
-        let zone = Zone { beat: 0, heard: now, members: 1, hash: None };
+        let zone = ZoneState { beat: 0, last_received: now, live_members: 1, hash: None };
         let mut roster = Roster {
             own: incarnation,
             newest: BTreeMap::from([(own.node.clone(), incarnation)]),
             zones: BTreeMap::from([(own.zone.clone(), zone)]),
             known: BTreeMap::new(),
             now,
-            flat: true,
+            is_flat: true,
             period: options.period(1),
             options,
         };
-        let known = Known { record: own, beat: 0, heard: now, removed: None };
+        let known = KnownMember { record: own, beat: 0, last_received: now, removed_at: None };
         roster.known.insert(incarnation, known);
         roster
     }
@@ -79,93 +82,94 @@
     }
 
     pub(crate) fn is_flat(&self) -> bool {
-        self.flat
+        self.is_flat
     }
 
-    /// Lets time pass and sees anew how large the domains are.
+    /// Advances the time and updates the size of the domain and with it the period.
     pub(crate) fn refresh(&mut self, now: Stamp) {
-        self.forgive_pause(now);
+        self.discount_pause(now);
         self.now = now;
         for zone in self.zones.values_mut() {
-            zone.members = 0;
+            zone.live_members = 0;
         }
-        let mut alive = 0;
-        for known in self.known.values().filter(|known| known.removed.is_none()) {
-            alive += 1;
+        let mut live = 0;
+        for known in self.known.values().filter(|known| known.removed_at.is_none()) {
+            live += 1;
             if let Some(zone) = self.zones.get_mut(&known.record.zone) {
-                zone.members += 1;
+                zone.live_members += 1;
             }
         }
         let own_zone = &self.known[&self.own].record.zone;
-        let flat = alive <= self.options.max_flat_nodes;
-        let domain = if flat { alive } else { self.zones[own_zone].members };
-        self.period = self.options.period(domain);
-        if flat == self.flat {
+        let is_flat = live <= self.options.max_flat_nodes;
+        let domain_size = if is_flat { live } else { self.zones[own_zone].live_members };
+        self.period = self.options.period(domain_size);
+        if is_flat == self.is_flat {
             return;
         }
-        // Heartbeats and summaries were not watched alike in both shapes: each starts afresh.
-        self.flat = flat;
-        self.known.values_mut().for_each(|known| known.heard = now);
-        self.zones.values_mut().for_each(|zone| zone.heard = now);
+        // Members that were tracked by heartbeats may now be tracked by summaries and the other way
+        // round, so all of them count as just received.
+        self.is_flat = is_flat;
+        self.known.values_mut().for_each(|known| known.last_received = now);
+        self.zones.values_mut().for_each(|zone| zone.last_received = now);
     }
 
-    // A node that was paused hears nothing meanwhile. It must not take the others for dead, so
-    // the time that passed unnoticed is not counted.
-    fn forgive_pause(&mut self, now: Stamp) {
+    // A node that was paused has received nothing meanwhile. It must not consider the others dead,
+    // so the duration of the pause is not counted as their silence.
+    fn discount_pause(&mut self, now: Stamp) {
         let gap = now.since(self.now);
         if gap <= self.period.saturating_mul(3) {
             return;
         }
-        self.known.values_mut().for_each(|known| known.heard = known.heard + gap);
-        self.zones.values_mut().for_each(|zone| zone.heard = zone.heard + gap);
+        self.known.values_mut().for_each(|known| known.last_received = known.last_received + gap);
+        self.zones.values_mut().for_each(|zone| zone.last_received = zone.last_received + gap);
     }
 
-    /// Returns whether members of a zone are watched by their own heartbeats.
-    pub(crate) fn near(&self, zone: &ZoneName) -> bool {
-        self.flat || *zone == self.known[&self.own].record.zone
+    /// Returns whether members of a zone are tracked by their own heartbeats.
+    pub(crate) fn is_near(&self, zone: &ZoneName) -> bool {
+        self.is_flat || *zone == self.known[&self.own].record.zone
     }
 
-    pub(crate) fn suspected(&self, known: &Known<V>) -> bool {
-        self.silent_for(known, self.options.suspect_rounds)
+    pub(crate) fn is_suspected(&self, known: &KnownMember<V>) -> bool {
+        self.is_silent_for(known, self.options.suspect_rounds)
     }
 
-    pub(crate) fn believed(&self, known: &Known<V>) -> bool {
-        if known.removed.is_some() {
+    pub(crate) fn is_live(&self, known: &KnownMember<V>) -> bool {
+        if known.removed_at.is_some() {
             return false;
         }
-        self.near(&known.record.zone) || !self.silent_for(known, self.options.dead_rounds)
+        self.is_near(&known.record.zone) || !self.is_silent_for(known, self.options.dead_rounds)
     }
 
-    // A far zone's relays speak once in a far period; what they say then takes rounds of this
-    // zone to get here.
-    fn silent_for(&self, known: &Known<V>, rounds: u32) -> bool {
+    // Relays of a far zone send once in a far period; their messages then take rounds of this zone
+    // to arrive here.
+    fn is_silent_for(&self, known: &KnownMember<V>, rounds: u32) -> bool {
         if known.record.incarnation == self.own {
             return false;
         }
-        if self.near(&known.record.zone) {
-            return self.period.saturating_mul(rounds) < self.now.since(known.heard);
+        if self.is_near(&known.record.zone) {
+            return self.period.saturating_mul(rounds) < self.now.since(known.last_received);
         }
         let Some(zone) = self.zones.get(&known.record.zone) else { return false };
         let round = self.period + self.far_period();
-        round.saturating_mul(rounds) < self.now.since(zone.heard)
+        round.saturating_mul(rounds) < self.now.since(zone.last_received)
     }
 
-    /// Removes near members that were silent for too long; returns them.
+    /// Removes near members that have been silent for too long; returns them.
     ///
-    /// Only a member's own domain removes it; others are told so in its record.
+    /// A member is removed only by its own domain; other domains receive that in its record.
     pub(crate) fn remove_silent(&mut self) -> Vec<Incarnation> {
         let mut silent = Vec::new();
         for (incarnation, known) in &self.known {
-            let watched = known.removed.is_none() && self.near(&known.record.zone);
-            if watched && self.silent_for(known, self.options.dead_rounds) {
+            let is_tracked = known.removed_at.is_none() && self.is_near(&known.record.zone);
+            if is_tracked && self.is_silent_for(known, self.options.dead_rounds) {
                 silent.push(*incarnation);
             }
         }
         for incarnation in &silent {
             self.remove(*incarnation);
         }
-        let (now, forget) = (self.now, self.options.forget);
-        self.known.retain(|_, known| known.removed.is_none_or(|at| now.since(at) < forget));
+        let (now, retention) = (self.now, self.options.tombstone_retention);
+        self.known.retain(|_, known| known.removed_at.is_none_or(|at| now.since(at) < retention));
         let known = &self.known;
         self.newest.retain(|_, incarnation| known.contains_key(incarnation));
         silent
@@ -174,130 +178,138 @@
     fn remove(&mut self, incarnation: Incarnation) {
         let now = self.now;
         let Some(known) = self.known.get_mut(&incarnation) else { return };
-        known.removed = Some(now);
-        known.record.condition = Condition::Gone;
-        self.forget_hash(incarnation);
+        known.removed_at = Some(now);
+        known.record.condition = Condition::Dead;
+        self.invalidate_hash(incarnation);
     }
 
-    /// Notes that the record of a life has changed.
-    pub(crate) fn forget_hash(&mut self, incarnation: Incarnation) {
+    /// Invalidates the hash of a zone since the record of an incarnation of it has changed.
+    pub(crate) fn invalidate_hash(&mut self, incarnation: Incarnation) {
         let Some(known) = self.known.get(&incarnation) else { return };
         if let Some(zone) = self.zones.get_mut(&known.record.zone) {
             zone.hash = None;
         }
     }
 
-    /// Returns the record of a life that was removed.
-    pub(crate) fn removed(&self, incarnation: Incarnation) -> Option<&Record<V>> {
+    /// Returns the record of an incarnation that was removed.
+    pub(crate) fn tombstone(&self, incarnation: Incarnation) -> Option<&Record<V>> {
         let known = self.known.get(&incarnation)?;
-        known.removed.map(|_| &known.record)
+        known.removed_at.map(|_| &known.record)
     }
 
-    /// Takes another life's record; returns whether it was news.
-    pub(crate) fn take(&mut self, record: Record<V>) -> bool {
+    /// Applies the record of another incarnation; returns whether it was an update.
+    pub(crate) fn apply_record(&mut self, record: Record<V>) -> bool {
         let incarnation = record.incarnation;
         let newest = self.newest.get(&record.node).copied().unwrap_or_default();
-        let gone = record.condition == Condition::Gone;
-        if incarnation < newest || (gone && !self.known.contains_key(&incarnation)) {
+        let is_dead = record.condition == Condition::Dead;
+        if incarnation < newest || (is_dead && !self.known.contains_key(&incarnation)) {
             return false;
         }
         let earlier = self.known.get(&incarnation);
         if earlier.is_some_and(|known| record.rank() <= known.record.rank()) {
             return false;
         }
-        let earlier = earlier.filter(|known| known.removed.is_none());
-        let (beat, heard) = earlier.map_or((0, self.now), |known| (known.beat, known.heard));
+        let earlier = earlier.filter(|known| known.removed_at.is_none());
+        let (beat, last_received) =
+            earlier.map_or((0, self.now), |known| (known.beat, known.last_received));
         if newest < incarnation {
-            // A later life of a node ends the earlier one.
+            // A later incarnation of a node replaces the earlier one.
             self.newest.insert(record.node.clone(), incarnation);
             self.remove(newest);
         }
-        let new = Zone { beat: 0, heard: self.now, members: 1, hash: None };
+        let new = ZoneState { beat: 0, last_received: self.now, live_members: 1, hash: None };
         self.zones.entry(record.zone.clone()).or_insert(new);
-        let removed = gone.then_some(self.now);
-        self.known.insert(incarnation, Known { record, beat, heard, removed });
-        self.forget_hash(incarnation);
+        let removed_at = is_dead.then_some(self.now);
+        self.known.insert(incarnation, KnownMember { record, beat, last_received, removed_at });
+        self.invalidate_hash(incarnation);
         true
     }
 
-    /// Takes the heartbeat of a known life.
-    pub(crate) fn take_beat(&mut self, beat: Beat) -> BeatNews {
+    /// Applies the heartbeat of another incarnation; returns how the sender's record compares.
+    pub(crate) fn apply_heartbeat(&mut self, beat: Heartbeat) -> SenderVersion {
         let now = self.now;
-        let Some(known) = self.known.get_mut(&beat.incarnation) else { return BeatNews::Ahead };
+        let Some(known) = self.known.get_mut(&beat.incarnation) else {
+            return SenderVersion::Ahead;
+        };
         if known.beat < beat.beat {
             known.beat = beat.beat;
-            known.heard = now;
+            known.last_received = now;
         }
         if known.record.sequence < beat.sequence {
-            return BeatNews::Ahead;
+            return SenderVersion::Ahead;
         }
-        let behind = beat.sequence < known.record.sequence || known.removed.is_some();
-        if behind { BeatNews::Behind } else { BeatNews::Same }
+        let is_behind = beat.sequence < known.record.sequence || known.removed_at.is_some();
+        if is_behind { SenderVersion::Behind } else { SenderVersion::Same }
     }
 
-    /// Takes a sign of life of a whole zone, from one of its own nodes or from others.
-    pub(crate) fn take_summary(&mut self, from: Incarnation, summary: &ZoneSummary) {
+    /// Applies the summary of a zone, received from one of its own nodes or from another one.
+    pub(crate) fn apply_summary(&mut self, from: Incarnation, summary: &ZoneSummary) {
         let now = self.now;
         let from_zone = self.known.get(&from).map(|known| &known.record.zone);
-        let direct = from_zone == Some(&summary.zone);
-        let new = Zone { beat: 0, heard: now, members: 1, hash: None };
+        let is_direct = from_zone == Some(&summary.zone);
+        let new = ZoneState { beat: 0, last_received: now, live_members: 1, hash: None };
         let zone = self.zones.entry(summary.zone.clone()).or_insert(new);
-        if direct || zone.beat < summary.beat {
-            zone.heard = now;
+        if is_direct || zone.beat < summary.beat {
+            zone.last_received = now;
         }
-        let told = if direct { zone.beat + 1 } else { zone.beat };
-        zone.beat = told.max(summary.beat);
+        let beat = if is_direct { zone.beat + 1 } else { zone.beat };
+        zone.beat = beat.max(summary.beat);
     }
 
     /// Returns the other members of the domain.
     pub(crate) fn domain(&self) -> Vec<Incarnation> {
         let near = self.known.values().filter(|known| {
-            known.removed.is_none()
+            known.removed_at.is_none()
                 && known.record.incarnation != self.own
-                && self.near(&known.record.zone)
+                && self.is_near(&known.record.zone)
         });
         near.map(|known| known.record.incarnation).collect()
     }
 
     /// Returns the relays of a zone: the first by hash that are not suspected.
     ///
-    /// All nodes agree on them without a word. While views differ there are more relays or fewer
-    /// for a moment, which costs messages only.
+    /// All nodes agree on them without exchanging messages. While their views differ there are more
+    /// or fewer relays for a moment, which only costs messages.
     pub(crate) fn relays_of(&self, zone: &ZoneName) -> Vec<Incarnation> {
         let mut ranked = Vec::new();
         for (incarnation, known) in &self.known {
-            let other = known.record.zone != *zone || known.removed.is_some();
-            if other || self.suspected(known) {
+            let is_excluded = known.record.zone != *zone || known.removed_at.is_some();
+            if is_excluded || self.is_suspected(known) {
                 continue;
             }
             ranked.push((xxh3_64(&incarnation.0.to_le_bytes()), *incarnation));
         }
         ranked.sort();
-        ranked.into_iter().take(self.options.relays).map(|(_, incarnation)| incarnation).collect()
+        ranked
+            .into_iter()
+            .take(self.options.relays_per_zone)
+            .map(|(_, incarnation)| incarnation)
+            .collect()
     }
 
-    /// Returns all lives of a zone that were not removed.
-    pub(crate) fn of_zone(&self, zone: &ZoneName) -> Vec<Incarnation> {
+    /// Returns all incarnations of a zone that have not been removed.
+    pub(crate) fn live_in_zone(&self, zone: &ZoneName) -> Vec<Incarnation> {
         let known = self.known.values();
-        let known = known.filter(|known| known.record.zone == *zone && known.removed.is_none());
+        let known = known.filter(|known| known.record.zone == *zone && known.removed_at.is_none());
         known.map(|known| known.record.incarnation).collect()
     }
 
     pub(crate) fn far_zones(&self) -> Vec<ZoneName> {
-        self.zones.keys().filter(|zone| !self.near(zone)).cloned().collect()
+        self.zones.keys().filter(|zone| !self.is_near(zone)).cloned().collect()
     }
 
     /// Returns the heartbeats of the domain.
-    pub(crate) fn beats(&self) -> Vec<Beat> {
+    pub(crate) fn heartbeats(&self) -> Vec<Heartbeat> {
         let near = self.known.values();
-        let near = near.filter(|known| known.removed.is_none() && self.near(&known.record.zone));
+        let near =
+            near.filter(|known| known.removed_at.is_none() && self.is_near(&known.record.zone));
         near.map(|known| known.version(known.beat)).collect()
     }
 
     /// Returns the versions of a zone's records.
-    pub(crate) fn versions_of(&self, zone: &ZoneName) -> Vec<Beat> {
+    pub(crate) fn versions_of(&self, zone: &ZoneName) -> Vec<Heartbeat> {
         let known = self.known.values();
-        let known = known.filter(|known| known.record.zone == *zone && known.removed.is_none());
+        let known = known.filter(|known| known.record.zone == *zone && known.removed_at.is_none());
         known.map(|known| known.version(0)).collect()
     }
 
@@ -307,22 +319,23 @@
         ZoneSummary { zone: zone.clone(), beat, hash }
     }
 
-    /// Returns a hash of the versions of a zone's records; it is kept until one changes.
+    /// Returns the hash of the versions of a zone's records; it is cached until one of them
+    /// changes.
     pub(crate) fn hash_of(&mut self, zone: &ZoneName) -> u32 {
         if let Some(hash) = self.zones.get(zone).and_then(|state| state.hash) {
             return hash;
         }
-        let hash = self.hash_anew(zone);
+        let hash = self.compute_hash(zone);
         if let Some(state) = self.zones.get_mut(zone) {
             state.hash = Some(hash);
         }
         hash
     }
 
-    fn hash_anew(&self, zone: &ZoneName) -> u32 {
+    fn compute_hash(&self, zone: &ZoneName) -> u32 {
         let mut buf = Vec::new();
         for known in self.known.values() {
-            if known.record.zone != *zone || known.removed.is_some() {
+            if known.record.zone != *zone || known.removed_at.is_some() {
                 continue;
             }
             buf.extend(known.record.incarnation.0.to_le_bytes());
@@ -332,14 +345,14 @@
     }
 }
 
-impl<V> Known<V> {
-    fn version(&self, beat: u64) -> Beat {
+impl<V> KnownMember<V> {
+    fn version(&self, beat: u64) -> Heartbeat {
         let Record { incarnation, sequence, .. } = self.record;
-        Beat { incarnation, sequence, beat }
+        Heartbeat { incarnation, sequence, beat }
     }
 
-    /// Notes a round of this very node.
-    pub(crate) fn beat(&mut self, beat: u64, now: Stamp) {
-        (self.beat, self.heard) = (beat, now);
+    /// Records a round of this node itself.
+    pub(crate) fn record_round(&mut self, beat: u64, now: Stamp) {
+        (self.beat, self.last_received) = (beat, now);
     }
 }
--- a/crates/coord/src/update_sources.rs
+++ b/crates/coord/src/update_sources.rs
@@ -1,85 +1,85 @@
-//! Of two relays that pass on the same news, the one that is listened to.
+//! The choice between relays that forward the same updates.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use bulrushhall_core::{Incarnation, Stamp, ZoneName};
 
-/// How long a relay may be silent before another one is listened to: three exchanges.
-const SILENT_AFTER: Duration = Duration::from_millis(700);
-/// By how many nodes another relay's news must be about more before it takes the place of one that is
-/// still heard. Relays hear of a node that starts one after the other.
-const MORE_NODES: u32 = 2;
+/// How long a relay may be silent before another one is accepted: three exchanges.
+const SOURCE_TIMEOUT: Duration = Duration::from_millis(700);
+/// How many more nodes another relay's updates must cover before it replaces a relay that is not
+/// silent. Relays do not learn of a starting node at the same time.
+const MIN_EXTRA_NODES: u32 = 2;
 
-/// A `UpdateScope` tells which nodes passed-on news is about.
+/// An `UpdateScope` is the set of nodes that forwarded updates cover.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UpdateScope {
-    /// All nodes but the one that is told.
+    /// All nodes but the one that receives them.
     Others,
     /// The nodes of one availability zone.
     Zone(ZoneName),
 }
 
-/// A `NewsSource` is a relay whose sums are taken in.
+/// An `UpdateSource` is the relay whose sums are accepted.
 #[derive(Clone, Copy, Debug)]
-struct NewsSource {
-    life: Incarnation,
+struct UpdateSource {
+    incarnation: Incarnation,
     nodes: u32,
-    at: Stamp,
+    last_received: Stamp,
 }
 
-/// A `SourceChoice` tells whether a relay is listened to.
+/// A `SourceChoice` tells whether the updates of a relay are accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceChoice {
-    /// Its news are left out: those of another one, which are about the same nodes, are taken in.
+    /// They are ignored: those of another relay, which cover the same nodes, are accepted.
     Ignored,
-    /// Its news are taken in; what `before` told must be dropped.
+    /// They are accepted; what was received from the previous relay must be dropped.
     Accepted {
-        /// The relay that was listened to before.
+        /// The relay that is replaced, if there is one.
         previous: Option<Incarnation>,
     },
 }
 
-/// `UpdateSources` know which relay is listened to for each scope.
+/// `UpdateSources` are the relays whose updates are accepted, one for each scope.
 ///
-/// Sums of two relays of one zone are about the same requests. Taken in from both, each request would
-/// count twice.
+/// Sums of two relays of one zone cover the same requests. If both were accepted, each request
+/// would count twice.
 #[derive(Clone, Debug, Default)]
 pub struct UpdateSources {
-    sources: BTreeMap<UpdateScope, NewsSource>,
+    sources: BTreeMap<UpdateScope, UpdateSource>,
 }
 
 impl UpdateSources {
-    /// Notes that a relay tells of `nodes` nodes; returns whether it is listened to.
+    /// Records that a relay's updates cover `nodes` nodes; returns whether they are accepted.
     pub fn offer(
         &mut self,
         now: Stamp,
         scope: UpdateScope,
-        life: Incarnation,
+        incarnation: Incarnation,
         nodes: u32,
     ) -> SourceChoice {
-        let offered = NewsSource { life, nodes, at: now };
+        let offered = UpdateSource { incarnation, nodes, last_received: now };
         let Some(source) = self.sources.get_mut(&scope) else {
             self.sources.insert(scope, offered);
             return SourceChoice::Accepted { previous: None };
         };
-        if source.life == life {
+        if source.incarnation == incarnation {
             *source = offered;
             return SourceChoice::Accepted { previous: None };
         }
-        let is_heard = now.since(source.at) < SILENT_AFTER;
-        if is_heard && nodes < source.nodes + MORE_NODES {
+        let is_active = now.since(source.last_received) < SOURCE_TIMEOUT;
+        if is_active && nodes < source.nodes + MIN_EXTRA_NODES {
             return SourceChoice::Ignored;
         }
-        let before = std::mem::replace(source, offered).life;
-        SourceChoice::Accepted { previous: Some(before) }
+        let previous = std::mem::replace(source, offered).incarnation;
+        SourceChoice::Accepted { previous: Some(previous) }
     }
 
-    /// Returns whether a life is listened to for some scope.
-    pub fn contains(&self, life: Incarnation) -> bool {
-        self.sources.values().any(|source| source.life == life)
+    /// Returns whether the updates of an incarnation are accepted for any scope.
+    pub fn contains(&self, incarnation: Incarnation) -> bool {
+        self.sources.values().any(|source| source.incarnation == incarnation)
     }
 
-    /// Forgets all, as when a node's role changes.
+    /// Drops all sources, for example when this node's role changes.
     pub fn clear(&mut self) {
         self.sources.clear();
     }
