--- a/crates/coord/tests/attempt_schedules.rs
+++ b/crates/coord/tests/attempt_schedules.rs
@@ -1,4 +1,4 @@
-//! Random courses of the tries of one call, judged by what really ran.
+//! Random sequences of attempts of one call, compared with the actual runs.
 
 use bulrushhall_coord::Attempts;
 use bulrushhall_core::Ran;
@@ -7,24 +7,24 @@
 use rstest::rstest;
 
 const SCHEDULES: u64 = 120_000;
-const TRIES_MOST: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
-/// What becomes of one try, as nobody but the test can see it.
+/// A `Fate` is what actually happens to one attempt, which only the test knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
     /// No connection could be opened.
     NotOpened,
-    /// The backend server says that it did not run the call.
+    /// The backend server replies that it did not run the call.
     Rejected,
     /// The connection broke after the call was written, before the server read it.
     LostBefore,
-    /// It broke when the server had run the call.
+    /// The connection broke after the server had run the call.
     LostAfter,
-    /// The bytes are still under way when the node gives up; the server runs the call later.
+    /// The bytes are still in flight when the node times out; the server runs the call later.
     Delayed,
-    /// The answer came.
+    /// The response arrived.
     Answered,
-    /// The caller left while the call was with the server.
+    /// The caller disconnected while the server was processing the call.
     Abandoned,
 }
 
@@ -43,8 +43,8 @@
         matches!(self, Fate::LostAfter | Fate::Delayed | Fate::Answered | Fate::Abandoned)
     }
 
-    // What a node can know; none where the try never ended for it.
-    fn seen(self) -> Option<Ran> {
+    // Returns the outcome that a node can observe; none if the attempt never ended for it.
+    fn observed(self) -> Option<Ran> {
         match self {
             Fate::NotOpened | Fate::Rejected => Some(Ran::No),
             Fate::LostBefore | Fate::LostAfter | Fate::Delayed => Some(Ran::Unknown),
@@ -53,66 +53,71 @@
         }
     }
 
-    // As a node would see it that takes every broken connection for one without a run.
-    fn seen_carelessly(self) -> Option<Ran> {
-        self.seen().map(|ran| if ran == Ran::Unknown { Ran::No } else { ran })
+    // Returns the outcome of a faulty node that counts every broken connection as not run.
+    fn observed_wrongly(self) -> Option<Ran> {
+        self.observed().map(|ran| if ran == Ran::Unknown { Ran::No } else { ran })
     }
 }
 
-/// What the schedules showed.
+/// The number of schedules with each violation.
 #[derive(Debug, Default)]
-struct Broken {
+struct Violations {
     /// Calls that ran more than once.
-    twice: u64,
-    /// Calls that were said not to have run, though one try ran or will.
-    untrue: u64,
-    /// Calls that ended although another try would have been safe.
-    given_up: u64,
+    ran_twice: u64,
+    /// Calls that were reported as not run although an attempt ran or will run.
+    false_not_run: u64,
+    /// Calls that ended although a retry would have been safe.
+    not_retried: u64,
 }
 
-// An order is sent, a connection breaks at any point, a server refuses, bytes arrive late, or the caller
-// leaves. A customer pays for two firings if it runs again, and sends it again if told falsely that it
-// did not run.
+// Guards against a non-repeatable call that runs twice, or is reported as not run although it did,
+// so that its caller sends it again. Connections break at any point, servers refuse, bytes arrive
+// late and callers disconnect.
 #[test]
 fn runs_once() {
-    let broken = play(Fate::seen);
-    assert_eq!((broken.twice, broken.untrue, broken.given_up), (0, 0, 0), "{broken:?}");
+    let violations = run(Fate::observed);
+    assert_eq!(
+        (violations.ran_twice, violations.false_not_run, violations.not_retried),
+        (0, 0, 0),
+        "{violations:?}"
+    );
 }
 
-// The same with a fault planted in how broken connections are read: the checks above must see it.
+// The checks have to detect an injected fault in how broken connections are counted.
 #[rstest]
-#[case::twice(|broken: &Broken| broken.twice)]
-#[case::untrue(|broken: &Broken| broken.untrue)]
-fn planted_fault(#[case] count: fn(&Broken) -> u64) {
-    let broken = play(Fate::seen_carelessly);
-    assert!(0 < count(&broken), "{broken:?}");
+#[case::ran_twice(|violations: &Violations| violations.ran_twice)]
+#[case::false_not_run(|violations: &Violations| violations.false_not_run)]
+fn injected_fault(#[case] count: fn(&Violations) -> u64) {
+    let violations = run(Fate::observed_wrongly);
+    assert!(0 < count(&violations), "{violations:?}");
 }
 
-fn play(seen: fn(Fate) -> Option<Ran>) -> Broken {
-    let mut broken = Broken::default();
+fn run(observed: fn(Fate) -> Option<Ran>) -> Violations {
+    let mut violations = Violations::default();
     for seed in 0..SCHEDULES {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut attempts = Attempts::default();
         let mut fates = Vec::new();
-        for _ in 0..TRIES_MOST {
+        for _ in 0..MAX_ATTEMPTS {
             let fate = Fate::ALL[random.random_range(0..Fate::ALL.len())];
             fates.push(fate);
             attempts.begin();
-            let Some(ran) = seen(fate) else { break };
+            let Some(ran) = observed(fate) else { break };
             attempts.end(ran);
             if !attempts.may_retry() {
                 break;
             }
         }
-        judge(&mut broken, &fates, &attempts);
+        check(&mut violations, &fates, &attempts);
     }
-    broken
+    violations
 }
 
-fn judge(broken: &mut Broken, fates: &[Fate], attempts: &Attempts) {
+fn check(violations: &mut Violations, fates: &[Fate], attempts: &Attempts) {
     let runs = fates.iter().filter(|fate| fate.runs()).count();
-    broken.twice += u64::from(1 < runs);
-    broken.untrue += u64::from(0 < runs && attempts.ran() == Ran::No);
-    let certain = fates.iter().all(|fate| matches!(fate, Fate::NotOpened | Fate::Rejected));
-    broken.given_up += u64::from(certain && !attempts.may_retry());
+    violations.ran_twice += u64::from(1 < runs);
+    violations.false_not_run += u64::from(0 < runs && attempts.ran() == Ran::No);
+    let certainly_not_run =
+        fates.iter().all(|fate| matches!(fate, Fate::NotOpened | Fate::Rejected));
+    violations.not_retried += u64::from(certainly_not_run && !attempts.may_retry());
 }
--- a/crates/coord/tests/call_budget.rs
+++ b/crates/coord/tests/call_budget.rs
@@ -5,8 +5,8 @@
 use bulrushhall_coord::{CallBudget, Outcomes, Purpose, budget::Rate};
 use bulrushhall_core::{Ran, Stamp};
 
-// A part of a node fails in a loop. The service would be busy with it and refuse everyone, so
-// the loop may only use up its own budget.
+// A component of a node calls the service in a loop. It may only exhaust its own budget, as the
+// service would otherwise refuse all other callers.
 #[test]
 fn loop_starves_itself() {
     let rates = [
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn tells_when_to_ask() {
+fn error_has_retry_time() {
     let rates = [(Purpose::Config, Rate { per_second: 2.0, burst: 1.0 })];
     let mut budget = CallBudget::with_rates(Stamp(0), rates);
     assert!(budget.take(Stamp(0), Purpose::Config).is_ok());
--- a/crates/coord/tests/cluster/check.rs
+++ b/crates/coord/tests/cluster/check.rs
@@ -1,70 +1,72 @@
-//! Checks over the trace of one schedule; none looks into the machines.
+//! Checks of the trace of one schedule; none inspects the state machines.
 
 use bulrushhall_coord::CopyLocation;
 
 use super::{
-    plan::{Plan, Spacing, TroubleKind},
+    plan::{DisruptionKind, Plan, Spacing},
     trace::Event,
 };
 
-/// A `Fault` is a promise that a schedule broke.
+/// A `Violation` is a guarantee that did not hold in a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
-    /// A reader's text is not one that any single run has written.
-    Mixed,
-    /// A token came twice or out of order.
-    Repeated,
-    /// Two readers saw different texts although every step was within the terms.
-    TwoTexts,
-    /// An accepted request was lost although every step was within the terms.
-    Lost,
-    /// A copy was promised that nobody has.
-    NoCopy,
+pub enum Violation {
+    /// A reader's text was not produced by any single run.
+    MixedText,
+    /// A reader received a token twice or out of order.
+    RepeatedToken,
+    /// Two readers received different texts although no holder was replaced.
+    DivergingTexts,
+    /// A copied request was lost although the disruptions were within what ownership tolerates.
+    LostRequest,
+    /// A copy was reported at a peer that does not have it.
+    MissingCopy,
 }
 
-/// Returns the promises that a schedule broke.
-pub fn check(plan: &Plan, trace: &[Event]) -> Vec<Fault> {
-    let mut faults = Vec::new();
-    faults.extend(whole_texts(trace));
-    faults.extend(one_text(trace));
-    faults.extend(nothing_lost(plan, trace));
-    faults.extend(real_copies(trace));
-    faults
+/// Returns the violations in the trace of a schedule.
+pub fn check(plan: &Plan, trace: &[Event]) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    violations.extend(check_texts(trace));
+    violations.extend(check_single_text(trace));
+    violations.extend(check_nothing_lost(plan, trace));
+    violations.extend(check_copies(trace));
+    violations
 }
 
-// Each reader gets each token once, in order, and in the end a text that one run has written.
-fn whole_texts(trace: &[Event]) -> Option<Fault> {
+// Each reader receives each token once and in order, and in the end the text of a single run.
+fn check_texts(trace: &[Event]) -> Option<Violation> {
     let mut seen: [Vec<String>; 2] = Default::default();
-    let written = |text: &Vec<String>| {
-        trace.iter().any(|event| matches!(event, Event::Written { text: it } if it == text))
+    let is_of_one_run = |text: &Vec<String>| {
+        trace.iter().any(|event| matches!(event, Event::RunEnded { text: it } if it == text))
     };
     for event in trace {
         match event {
             Event::Shown { reader, number, text } => {
                 if *number != seen[*reader].len() {
-                    return Some(Fault::Repeated);
+                    return Some(Violation::RepeatedToken);
                 }
                 seen[*reader].push(text.clone());
             }
             Event::Diverged { reader } => seen[*reader].clear(),
-            Event::Whole { reader } if !written(&seen[*reader]) => return Some(Fault::Mixed),
+            Event::ReaderDone { reader } if !is_of_one_run(&seen[*reader]) => {
+                return Some(Violation::MixedText);
+            }
             _ => {}
         }
     }
     None
 }
 
-// While no holder had to be replaced, there is one text, and no reader is sent back.
-fn one_text(trace: &[Event]) -> Option<Fault> {
+// As long as no holder was replaced there is one text, and no reader has to start over.
+fn check_single_text(trace: &[Event]) -> Option<Violation> {
     if trace.contains(&Event::Replaced) {
         return None;
     }
     let mut tokens: Vec<&String> = Vec::new();
     for event in trace {
         match event {
-            Event::Diverged { .. } => return Some(Fault::TwoTexts),
+            Event::Diverged { .. } => return Some(Violation::DivergingTexts),
             Event::Shown { number, text, .. } => match tokens.get(*number) {
-                Some(known) if *known != text => return Some(Fault::TwoTexts),
+                Some(known) if *known != text => return Some(Violation::DivergingTexts),
                 Some(_) => {}
                 None => tokens.push(text),
             },
@@ -74,20 +76,21 @@
     None
 }
 
-// Troubles that come one after the other, each once the last is repaired, lose nothing.
-fn nothing_lost(plan: &Plan, trace: &[Event]) -> Option<Fault> {
+// Disruptions that occur one at a time, each after recovery from the last, lose nothing.
+fn check_nothing_lost(plan: &Plan, trace: &[Event]) -> Option<Violation> {
     let copied = trace
         .iter()
         .any(|event| matches!(event, Event::Accepted { copied: CopyLocation::At(_), .. }));
-    let crashes = plan.troubles.iter().filter(|it| it.kind == TroubleKind::Crash).count();
-    let within = plan.spaced == Spacing::Apart || crashes <= 1 && plan.troubles.len() <= 1;
-    let whole = trace.contains(&Event::Quiet { whole: true });
-    (copied && within && !whole).then_some(Fault::Lost)
+    let crashes = plan.disruptions.iter().filter(|it| it.kind == DisruptionKind::Crash).count();
+    let is_tolerated =
+        plan.spacing == Spacing::Apart || crashes <= 1 && plan.disruptions.len() <= 1;
+    let complete = trace.contains(&Event::Settled { complete: true });
+    (copied && is_tolerated && !complete).then_some(Violation::LostRequest)
 }
 
-fn real_copies(trace: &[Event]) -> Option<Fault> {
-    let empty = trace.iter().any(|event| {
-        matches!(event, Event::Accepted { copied: CopyLocation::At(_), really: false })
+fn check_copies(trace: &[Event]) -> Option<Violation> {
+    let has_missing_copy = trace.iter().any(|event| {
+        matches!(event, Event::Accepted { copied: CopyLocation::At(_), has_copy: false })
     });
-    empty.then_some(Fault::NoCopy)
+    has_missing_copy.then_some(Violation::MissingCopy)
 }
--- a/crates/coord/tests/cluster/mod.rs
+++ b/crates/coord/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A few nodes, their network, engines and readers, in simulated time.
+//! A simulation of a few nodes with their network, engines and readers.
 
 pub mod check;
 pub mod plan;
@@ -6,7 +6,7 @@
 pub mod trace;
 pub mod world;
 
-pub use check::{Fault, check};
+pub use check::{Violation, check};
 pub use plan::{Mutant, Plan};
 pub use trace::Event;
 pub use world::World;
--- a/crates/coord/tests/cluster/plan.rs
+++ b/crates/coord/tests/cluster/plan.rs
@@ -1,90 +1,90 @@
-//! What goes wrong in one schedule, drawn from its seed.
+//! The faults of one schedule, drawn from its seed.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A `Plan` is what goes wrong in one schedule.
+/// A `Plan` is the set of faults of one schedule.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
     pub nodes: usize,
-    pub lost: f64,
-    pub doubled: f64,
-    pub late: f64,
-    pub troubles: Vec<Trouble>,
-    pub spaced: Spacing,
+    pub loss: f64,
+    pub duplication: f64,
+    pub delay: f64,
+    pub disruptions: Vec<Disruption>,
+    pub spacing: Spacing,
     pub mutant: Option<Mutant>,
 }
 
-/// Whether troubles come one after the other or together.
+/// A `Spacing` tells whether disruptions occur one at a time or may overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spacing {
     Apart,
     Together,
 }
 
-/// A `Trouble` happens to one node at one time.
+/// A `Disruption` affects one node at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Trouble {
+pub struct Disruption {
     pub at: Duration,
     pub node: usize,
-    pub kind: TroubleKind,
+    pub kind: DisruptionKind,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TroubleKind {
+pub enum DisruptionKind {
     Crash,
     Pause(Duration),
     Leave,
 }
 
-/// A `Mutant` is a planted fault that a checker has to notice.
+/// A `Mutant` is an injected fault that a check has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     /// Tokens are shown to readers before the holder has them.
-    ShowsEarly,
-    /// Readers go on at another node without showing what they saw.
-    ReadsBlindly,
-    /// A holder does nothing when its owner dies.
+    ReleasesEarly,
+    /// Readers continue at another node without comparing what they have received.
+    SkipsPrefixCheck,
+    /// A holder does not take over when its owner dies.
     NeverTakesOver,
-    /// A holder acknowledges a copy and does not keep it.
-    ForgetsCopies,
+    /// A holder acknowledges a copy but drops it.
+    DropsCopies,
 }
 
 impl Plan {
     pub fn draw(seed: u64) -> Plan {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let spaced = if random.random_bool(0.5) { Spacing::Apart } else { Spacing::Together };
+        let spacing = if random.random_bool(0.5) { Spacing::Apart } else { Spacing::Together };
         let count = random.random_range(0..4);
-        let mut troubles = Vec::new();
+        let mut disruptions = Vec::new();
         let mut at = Duration::ZERO;
         for _ in 0..count {
-            at = match spaced {
+            at = match spacing {
                 Spacing::Apart => at + Duration::from_millis(random.random_range(0..1_000)),
                 Spacing::Together => Duration::from_millis(random.random_range(0..1_500)),
             };
             let pause = Duration::from_millis(random.random_range(50..3_000));
             let kind = match random.random_range(0..3) {
-                0 => TroubleKind::Crash,
-                1 => TroubleKind::Pause(pause),
-                _ => TroubleKind::Leave,
+                0 => DisruptionKind::Crash,
+                1 => DisruptionKind::Pause(pause),
+                _ => DisruptionKind::Leave,
             };
-            // The first node accepts the request; it is the likeliest to be in trouble.
+            // The first node accepts the request, so it is disrupted most often.
             let node = if random.random_bool(0.6) { 0 } else { random.random_range(1..4) };
-            troubles.push(Trouble { at, node, kind });
+            disruptions.push(Disruption { at, node, kind });
             at += pause + Duration::from_secs(7);
         }
         let share = |random: &mut Pcg64Mcg| [0.0, 0.02, 0.1][random.random_range(0..3)];
         Plan {
             seed,
             nodes: 4,
-            lost: share(&mut random),
-            doubled: share(&mut random),
-            late: share(&mut random),
-            troubles,
-            spaced,
+            loss: share(&mut random),
+            duplication: share(&mut random),
+            delay: share(&mut random),
+            disruptions,
+            spacing,
             mutant: None,
         }
     }
--- a/crates/coord/tests/cluster/reader.rs
+++ b/crates/coord/tests/cluster/reader.rs
@@ -1,14 +1,14 @@
-//! Answers as nodes show them, and readers that follow them from node to node.
+//! The response as nodes show it, and readers that follow it from node to node.
 
-/// A `Shown` is what one node shows of the answer.
+/// A `NodeOutput` is the part of the response that one node shows.
 #[derive(Clone, Debug, Default)]
-pub struct Shown {
+pub struct NodeOutput {
     pub tokens: Vec<String>,
     pub ended: bool,
     pub moved: bool,
 }
 
-/// A `Reader` follows the answer at one node after the other.
+/// A `Reader` reads the response at one node after another.
 #[derive(Clone, Debug, Default)]
 pub struct Reader {
     pub seen: Vec<String>,
@@ -16,7 +16,7 @@
     pub done: bool,
 }
 
-impl Shown {
+impl NodeOutput {
     pub fn push(&mut self, first: usize, tokens: Vec<String>) {
         if self.ended || self.tokens.len() < first {
             return;
@@ -25,7 +25,7 @@
         self.tokens.extend(tokens.into_iter().skip(known));
     }
 
-    /// Returns whether `seen` is the beginning of this answer, once that can be told.
+    /// Returns whether `seen` is a prefix of this output; none as long as that is undecided.
     pub fn begins_with(&self, seen: &[String]) -> Option<bool> {
         if self.tokens.len() < seen.len() && !self.ended {
             return None;
--- a/crates/coord/tests/cluster/trace.rs
+++ b/crates/coord/tests/cluster/trace.rs
@@ -1,24 +1,24 @@
-//! What happened in a schedule, as checkers see it.
+//! The events of a schedule, as input of the checks.
 
 use bulrushhall_coord::CopyLocation;
 
-/// An `Event` is one thing that happened.
+/// An `Event` is one observable event of a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The request was accepted; `copied` tells whether the named peer really has it.
-    Accepted { copied: CopyLocation, really: bool },
-    /// Another node owns the request now and runs it from what was copied.
+    /// The request was accepted; `has_copy` tells whether the peer in `copied` does have the copy.
+    Accepted { copied: CopyLocation, has_copy: bool },
+    /// Another node now owns the request and continues it from the copy.
     Resumed,
-    /// A run came to its end with this text.
-    Written { text: Vec<String> },
+    /// A run ended with this text.
+    RunEnded { text: Vec<String> },
     /// A reader was shown a token.
     Shown { reader: usize, number: usize, text: String },
-    /// A reader was told that the text goes on differently, and begins anew.
+    /// A reader was told that the text diverged from what it has, and starts over.
     Diverged { reader: usize },
     /// A reader was shown the end.
-    Whole { reader: usize },
-    /// A holder was replaced or a request offered to a second peer.
+    ReaderDone { reader: usize },
+    /// A holder was replaced, or a request was offered to a second peer.
     Replaced,
-    /// At the end of the schedule: whether a living node has the whole answer.
-    Quiet { whole: bool },
+    /// At the end of the schedule: whether a live node has the complete response.
+    Settled { complete: bool },
 }
--- a/crates/coord/tests/cluster/world.rs
+++ b/crates/coord/tests/cluster/world.rs
@@ -11,18 +11,19 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::{
-    plan::{Mutant, Plan, TroubleKind},
-    reader::{Reader, Shown},
+    plan::{DisruptionKind, Mutant, Plan},
+    reader::{NodeOutput, Reader},
     trace::Event,
 };
 
-const SWEEP: Duration = Duration::from_millis(300);
-const TICK: Duration = Duration::from_millis(10);
-const TOKEN: Duration = Duration::from_millis(150);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(300);
+const TICK_DELAY: Duration = Duration::from_millis(10);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(150);
 const LEAVE_TIME: Duration = Duration::from_secs(6);
-const QUIET_AFTER: Duration = Duration::from_secs(9);
-const LENGTH: usize = 8;
+const SETTLE_TIME: Duration = Duration::from_secs(9);
+const RESPONSE_TOKENS: usize = 8;
 
+/// A `World` is the simulation of one schedule.
 pub struct World {
     plan: Plan,
     random: Pcg64Mcg,
@@ -40,9 +41,10 @@
     alive: bool,
     leaving: bool,
     awake_at: Stamp,
+    /// Which other nodes this one considers alive.
     view: Vec<bool>,
-    ticking: bool,
-    shown: Option<Shown>,
+    is_tick_due: bool,
+    shown: Option<NodeOutput>,
     run: Option<Run>,
     offers: Vec<Incarnation>,
 }
@@ -60,15 +62,15 @@
     Tick(usize),
     Write(usize, u64),
     View(usize, usize, bool),
-    Trouble(usize),
+    Disruption(usize),
     Leave(usize),
     Exit(usize),
     Read,
 }
 
 impl World {
-    /// Plays a schedule through and returns what happened.
-    pub fn play(plan: Plan) -> Vec<Event> {
+    /// Simulates a schedule and returns its events.
+    pub fn simulate(plan: Plan) -> Vec<Event> {
         let random = Pcg64Mcg::seed_from_u64(plan.seed ^ 0x9e37_79b9);
         let mut world = World {
             random,
@@ -86,108 +88,108 @@
     }
 
     fn run(&mut self) {
-        let mut mail: Vec<Option<Message>> = Vec::new();
+        let mut messages: Vec<Option<Message>> = Vec::new();
         for at in 0..self.nodes.len() {
-            self.tell_members(at, &mut mail);
+            self.update_members(at, &mut messages);
             let first = Duration::from_millis(self.random.random_range(1..300));
             self.after(first, Step::Sweep(at));
         }
-        for at in 0..self.plan.troubles.len() {
-            self.after(self.plan.troubles[at].at, Step::Trouble(at));
+        for at in 0..self.plan.disruptions.len() {
+            self.after(self.plan.disruptions[at].at, Step::Disruption(at));
         }
         self.after(Duration::from_millis(120), Step::Read);
-        let last = self.plan.troubles.iter().map(|trouble| match trouble.kind {
-            TroubleKind::Pause(time) => trouble.at + time,
-            TroubleKind::Leave => trouble.at + LEAVE_TIME,
-            TroubleKind::Crash => trouble.at,
+        let last = self.plan.disruptions.iter().map(|disruption| match disruption.kind {
+            DisruptionKind::Pause(time) => disruption.at + time,
+            DisruptionKind::Leave => disruption.at + LEAVE_TIME,
+            DisruptionKind::Crash => disruption.at,
         });
-        let end = self.now + last.max().unwrap_or_default() + QUIET_AFTER;
+        let end = self.now + last.max().unwrap_or_default() + SETTLE_TIME;
 
         let accepted = self.nodes[0].machine.accept(self.now, id(), Bytes::from_static(b"survey"));
         self.start_run(0, Version { epoch: 1, generation: 0, owner: incarnation(0) });
-        self.nodes[0].shown = Some(Shown::default());
-        self.carry_out(0, accepted, &mut mail);
+        self.nodes[0].shown = Some(NodeOutput::default());
+        self.carry_out(0, accepted, &mut messages);
         while let Some(Reverse((at, _, step))) = self.queue.pop() {
             if end < at {
                 break;
             }
             self.now = at;
-            self.step(step, &mut mail);
+            self.step(step, &mut messages);
             if self.is_over() {
                 break;
             }
         }
-        let whole = self
+        let complete = self
             .nodes
             .iter()
             .any(|node| node.alive && node.shown.as_ref().is_some_and(|shown| shown.ended));
-        self.trace.push(Event::Quiet { whole });
+        self.trace.push(Event::Settled { complete });
     }
 
-    // Nothing can change any more once all readers have the whole answer.
+    // Nothing changes once all readers have the complete response.
     fn is_over(&self) -> bool {
         self.readers.iter().all(|reader| reader.done)
     }
 
-    fn step(&mut self, step: Step, mail: &mut Vec<Option<Message>>) {
+    fn step(&mut self, step: Step, messages: &mut Vec<Option<Message>>) {
         if let Some(node) = step.node()
             && self.now < self.nodes[node].awake_at
         {
-            let wakes = self.nodes[node].awake_at;
-            self.push(wakes, step);
+            let awake_at = self.nodes[node].awake_at;
+            self.push(awake_at, step);
             return;
         }
         match step {
-            Step::Deliver(from, to, letter) => {
+            Step::Deliver(from, to, index) => {
                 if !self.nodes[to].alive {
                     return;
                 }
-                let Some(message) = mail[letter as usize].clone() else { return };
+                let Some(message) = messages[index as usize].clone() else { return };
                 let from = incarnation(from);
-                let forgets = self.plan.mutant == Some(Mutant::ForgetsCopies);
-                let copied = forgets && matches!(message, Message::Copy { .. });
+                let drops_copies = self.plan.mutant == Some(Mutant::DropsCopies);
+                let is_dropped = drops_copies && matches!(message, Message::Copy { .. });
                 let actions = self.nodes[to].machine.receive(self.now, from, message.clone());
-                if copied {
+                if is_dropped {
                     let version = Version { epoch: u32::MAX, generation: 0, owner: from };
                     let drop = Message::Drop { id: message.id(), version };
                     self.nodes[to].machine.receive(self.now, from, drop);
                 }
-                self.carry_out(to, actions, mail);
+                self.carry_out(to, actions, messages);
             }
             Step::Sweep(at) => {
                 if !self.nodes[at].alive {
                     return;
                 }
-                self.after(SWEEP, Step::Sweep(at));
-                let idle = self.plan.mutant == Some(Mutant::NeverTakesOver)
+                self.after(SWEEP_INTERVAL, Step::Sweep(at));
+                let is_disabled = self.plan.mutant == Some(Mutant::NeverTakesOver)
                     && self.nodes[at].machine.held_body(id()).is_some();
-                if !idle {
+                if !is_disabled {
                     let actions = self.nodes[at].machine.sweep(self.now);
-                    self.carry_out(at, actions, mail);
+                    self.carry_out(at, actions, messages);
                 }
                 if self.nodes[at].leaving {
-                    self.hand_over(at, mail);
+                    self.hand_over(at, messages);
                 }
             }
             Step::Tick(at) => {
-                self.nodes[at].ticking = false;
+                self.nodes[at].is_tick_due = false;
                 if self.nodes[at].alive {
                     let actions = self.nodes[at].machine.tick(self.now);
-                    self.carry_out(at, actions, mail);
+                    self.carry_out(at, actions, messages);
                 }
             }
             Step::Write(at, number) => self.write(at, number),
-            Step::View(at, whom, present) => {
-                self.nodes[at].view[whom] = present && self.nodes[whom].alive;
-                self.tell_members(at, mail);
+            Step::View(at, other, is_live) => {
+                self.nodes[at].view[other] = is_live && self.nodes[other].alive;
+                self.update_members(at, messages);
             }
-            Step::Trouble(at) => self.trouble(at),
+            Step::Disruption(at) => self.disrupt(at),
             Step::Leave(at) => {
                 self.nodes[at].machine.leave(self.now);
                 for other in 0..self.nodes.len() {
-                    self.tell_members(other, mail);
+                    self.update_members(other, messages);
                 }
-                self.hand_over(at, mail);
+                self.hand_over(at, messages);
             }
             Step::Exit(at) => self.crash(at),
             Step::Read => {
@@ -197,21 +199,21 @@
         }
     }
 
-    fn trouble(&mut self, at: usize) {
-        let trouble = self.plan.troubles[at];
-        if !self.nodes[trouble.node].alive {
+    fn disrupt(&mut self, at: usize) {
+        let disruption = self.plan.disruptions[at];
+        if !self.nodes[disruption.node].alive {
             return;
         }
-        let living = self.nodes.iter().filter(|node| node.alive && !node.leaving).count();
-        match trouble.kind {
-            TroubleKind::Crash if living <= 2 => {}
-            TroubleKind::Crash => self.crash(trouble.node),
-            TroubleKind::Pause(time) => self.pause(trouble.node, time),
-            TroubleKind::Leave if living <= 2 => {}
-            TroubleKind::Leave => {
-                self.nodes[trouble.node].leaving = true;
-                self.after(Duration::ZERO, Step::Leave(trouble.node));
-                self.after(LEAVE_TIME, Step::Exit(trouble.node));
+        let live = self.nodes.iter().filter(|node| node.alive && !node.leaving).count();
+        match disruption.kind {
+            DisruptionKind::Crash if live <= 2 => {}
+            DisruptionKind::Crash => self.crash(disruption.node),
+            DisruptionKind::Pause(time) => self.pause(disruption.node, time),
+            DisruptionKind::Leave if live <= 2 => {}
+            DisruptionKind::Leave => {
+                self.nodes[disruption.node].leaving = true;
+                self.after(Duration::ZERO, Step::Leave(disruption.node));
+                self.after(LEAVE_TIME, Step::Exit(disruption.node));
             }
         }
     }
@@ -220,36 +222,36 @@
         self.nodes[at].alive = false;
         self.nodes[at].shown = None;
         for other in 0..self.nodes.len() {
-            let noticed = Duration::from_millis(self.random.random_range(200..900));
-            self.after(noticed, Step::View(other, at, false));
+            let detected = Duration::from_millis(self.random.random_range(200..900));
+            self.after(detected, Step::View(other, at, false));
         }
     }
 
     fn pause(&mut self, at: usize, time: Duration) {
-        let wakes = self.now + time;
-        self.nodes[at].awake_at = wakes;
+        let awake_at = self.now + time;
+        self.nodes[at].awake_at = awake_at;
         for other in 0..self.nodes.len() {
             if other == at {
                 continue;
             }
-            let noticed = Duration::from_millis(self.random.random_range(200..900));
-            if noticed < time {
-                self.after(noticed, Step::View(other, at, false));
-                self.after(time + noticed, Step::View(other, at, true));
-                // A node that wakes has not heard of anybody for a while.
-                self.push(wakes, Step::View(at, other, false));
+            let detected = Duration::from_millis(self.random.random_range(200..900));
+            if detected < time {
+                self.after(detected, Step::View(other, at, false));
+                self.after(time + detected, Step::View(other, at, true));
+                // A node that resumes has not received heartbeats for a while.
+                self.push(awake_at, Step::View(at, other, false));
                 let back = Duration::from_millis(self.random.random_range(50..400));
-                self.push(wakes + back, Step::View(at, other, true));
+                self.push(awake_at + back, Step::View(at, other, true));
             }
         }
     }
 
-    fn hand_over(&mut self, at: usize, mail: &mut Vec<Option<Message>>) {
+    fn hand_over(&mut self, at: usize, messages: &mut Vec<Option<Message>>) {
         let actions = self.nodes[at].machine.hand_over(self.now, id());
-        self.carry_out(at, actions, mail);
+        self.carry_out(at, actions, messages);
     }
 
-    fn tell_members(&mut self, at: usize, mail: &mut Vec<Option<Message>>) {
+    fn update_members(&mut self, at: usize, messages: &mut Vec<Option<Message>>) {
         if !self.nodes[at].alive {
             return;
         }
@@ -262,23 +264,23 @@
             peers.push(Peer { incarnation: incarnation(other), zone: zone(other), leaving });
         }
         let actions = self.nodes[at].machine.set_members(self.now, peers);
-        self.carry_out(at, actions, mail);
+        self.carry_out(at, actions, messages);
     }
 
-    fn carry_out(&mut self, at: usize, actions: Vec<Action>, mail: &mut Vec<Option<Message>>) {
+    fn carry_out(&mut self, at: usize, actions: Vec<Action>, messages: &mut Vec<Option<Message>>) {
         for action in actions {
             match action {
-                Action::Send(to, message) => self.send(at, to, message, mail),
+                Action::Send(to, message) => self.send(at, to, message, messages),
                 Action::Accepted(_, copied) => {
-                    let really = match copied {
+                    let has_copy = match copied {
                         CopyLocation::At(peer) => self.has_copy(peer),
                         CopyLocation::Nowhere => false,
                     };
-                    self.trace.push(Event::Accepted { copied, really });
+                    self.trace.push(Event::Accepted { copied, has_copy });
                 }
                 Action::Start { version, .. } => {
                     self.trace.push(Event::Resumed);
-                    self.nodes[at].shown = Some(Shown::default());
+                    self.nodes[at].shown = Some(NodeOutput::default());
                     self.start_run(at, version);
                 }
                 Action::Stop(_) => self.nodes[at].run = None,
@@ -296,16 +298,16 @@
                     shown.ended = true;
                 }
                 Action::Keep { tokens, .. } => {
-                    self.nodes[at].shown = Some(Shown { tokens, ended: true, moved: false });
+                    self.nodes[at].shown = Some(NodeOutput { tokens, ended: true, moved: false });
                 }
             }
         }
     }
 
     fn has_copy(&self, peer: Incarnation) -> bool {
-        let node = &self.nodes[number(peer)];
+        let node = &self.nodes[index_of(peer)];
         let kept = node.shown.as_ref().is_some_and(|shown| shown.ended);
-        // A peer that died after its answer had it.
+        // A dead peer counts as having had the copy that it acknowledged.
         !node.alive
             || kept
             || node.machine.held_body(id()).is_some()
@@ -318,7 +320,7 @@
         from: usize,
         to: Incarnation,
         message: Message,
-        mail: &mut Vec<Option<Message>>,
+        messages: &mut Vec<Option<Message>>,
     ) {
         if let Message::Offer { .. } = &message {
             let offers = &mut self.nodes[from].offers;
@@ -334,20 +336,20 @@
         {
             self.trace.push(Event::Replaced);
         }
-        let letter = mail.len() as u64;
-        mail.push(Some(message));
+        let index = messages.len() as u64;
+        messages.push(Some(message));
         let mut copies = 1;
-        if self.random.random_bool(self.plan.lost) {
+        if self.random.random_bool(self.plan.loss) {
             copies = 0;
-        } else if self.random.random_bool(self.plan.doubled) {
+        } else if self.random.random_bool(self.plan.duplication) {
             copies = 2;
         }
         for _ in 0..copies {
             let mut time = Duration::from_micros(self.random.random_range(200..8_000));
-            if self.random.random_bool(self.plan.late) {
+            if self.random.random_bool(self.plan.delay) {
                 time = Duration::from_millis(self.random.random_range(10..2_500));
             }
-            self.after(time, Step::Deliver(from, number(to), letter));
+            self.after(time, Step::Deliver(from, index_of(to), index));
         }
     }
 
@@ -355,36 +357,36 @@
         self.runs += 1;
         let number = self.runs;
         self.nodes[at].run = Some(Run { number, version });
-        self.after(TOKEN, Step::Write(at, number));
+        self.after(TOKEN_INTERVAL, Step::Write(at, number));
     }
 
-    // An engine writes other words on each resume, as one that samples does.
+    // Each run produces different tokens, as an engine with sampling does.
     fn write(&mut self, at: usize, number: u64) {
         let node = &mut self.nodes[at];
         let Some(run) = node.run.filter(|run| run.number == number && node.alive) else { return };
         let written = node.machine.tokens(id()).map_or(0, <[String]>::len);
-        let goes_on = match written < LENGTH {
+        let continues = match written < RESPONSE_TOKENS {
             true => node.machine.token(id(), run.version, format!("{number}.{written}")),
             false => {
                 let text = node.machine.tokens(id()).unwrap_or_default().to_vec();
                 let ended = node.machine.finish(id(), run.version, Bytes::from_static(b"end"));
                 if ended {
-                    self.trace.push(Event::Written { text });
+                    self.trace.push(Event::RunEnded { text });
                 }
                 false
             }
         };
-        if self.plan.mutant == Some(Mutant::ShowsEarly)
+        if self.plan.mutant == Some(Mutant::ReleasesEarly)
             && let (Some(tokens), Some(shown)) = (node.machine.tokens(id()), &mut node.shown)
         {
             let tokens = tokens.to_vec();
             shown.push(0, tokens);
         }
-        if !std::mem::replace(&mut self.nodes[at].ticking, true) {
-            self.after(TICK, Step::Tick(at));
+        if !std::mem::replace(&mut self.nodes[at].is_tick_due, true) {
+            self.after(TICK_DELAY, Step::Tick(at));
         }
-        if goes_on {
-            self.after(TOKEN, Step::Write(at, number));
+        if continues {
+            self.after(TOKEN_INTERVAL, Step::Write(at, number));
         }
     }
 
@@ -398,10 +400,10 @@
             self.readers[at].at = Some(node);
             let Some(shown) = self.nodes[node].shown.clone() else { continue };
             let reader = &mut self.readers[at];
-            let blind = self.plan.mutant == Some(Mutant::ReadsBlindly);
+            let skips_check = self.plan.mutant == Some(Mutant::SkipsPrefixCheck);
             match shown.begins_with(&reader.seen) {
                 None => continue,
-                Some(false) if !blind => {
+                Some(false) if !skips_check => {
                     reader.seen.clear();
                     self.trace.push(Event::Diverged { reader: at });
                 }
@@ -414,7 +416,7 @@
             }
             if shown.ended {
                 reader.done = true;
-                self.trace.push(Event::Whole { reader: at });
+                self.trace.push(Event::ReaderDone { reader: at });
             }
         }
     }
@@ -425,7 +427,7 @@
         node.alive && awake && node.shown.as_ref().is_some_and(|shown| !shown.moved)
     }
 
-    // Any node that shows the answer may be found, whichever answers first.
+    // Readers may reach any node that shows the response.
     fn find(&mut self) -> Option<usize> {
         let first = self.random.random_range(0..self.nodes.len());
         let mut order = (0..self.nodes.len()).map(|at| (first + at) % self.nodes.len());
@@ -450,7 +452,7 @@
                 Some(*at)
             }
             Step::View(at, _, _) | Step::Leave(at) => Some(*at),
-            Step::Trouble(_) | Step::Exit(_) | Step::Read => None,
+            Step::Disruption(_) | Step::Exit(_) | Step::Read => None,
         }
     }
 }
@@ -463,7 +465,7 @@
         leaving: false,
         awake_at: Stamp(0),
         view: vec![true; nodes],
-        ticking: false,
+        is_tick_due: false,
         shown: None,
         run: None,
         offers: Vec::new(),
@@ -478,7 +480,7 @@
     Incarnation(at as u64 + 1)
 }
 
-fn number(incarnation: Incarnation) -> usize {
+fn index_of(incarnation: Incarnation) -> usize {
     incarnation.0 as usize - 1
 }
 
--- a/crates/coord/tests/config_age.rs
+++ b/crates/coord/tests/config_age.rs
@@ -1,4 +1,4 @@
-//! Up to which moment a configuration is known to be the newest.
+//! How long ago a configuration was known to be the newest.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
     assert!(!Freshness::default().is_within(Stamp(0), LIMIT));
 }
 
-// Answers overtake each other. A late one tells of an earlier moment and must not make the age look
-// greater, nor may the age ever look smaller than it is.
+// Responses are reordered. A late one refers to an earlier time and must not raise the age, and the
+// age must never be lower than it is.
 #[test]
-fn late_answers() {
+fn reordered_responses() {
     let mut freshness = Freshness::default();
     freshness.note(Stamp::from_millis(3_000));
     freshness.note(Stamp::from_millis(1_000));
--- a/crates/coord/tests/config_chain.rs
+++ b/crates/coord/tests/config_chain.rs
@@ -1,5 +1,5 @@
-//! Adding revisions while replies are lost, writes land late and operators race.
-#![expect(clippy::print_stdout, reason = "tests tell how many schedules they tried")]
+//! Adding revisions while replies are lost, writes are applied late and operators race.
+#![expect(clippy::print_stdout, reason = "tests print how many schedules they tried")]
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,8 +14,8 @@
 struct Service {
     version: u64,
     head: (u64, Bytes),
-    kept: BTreeMap<u64, Bytes>,
-    late: Vec<(u64, Bytes)>,
+    archived: BTreeMap<u64, Bytes>,
+    late_writes: Vec<(u64, Bytes)>,
 }
 
 impl Service {
@@ -32,26 +32,31 @@
         match call {
             ChainCall::Read => ChainReply::Found(self.head.0, self.head.1.clone()),
             ChainCall::Archive(revision, value) => {
-                self.kept.entry(revision.0).or_insert(value);
+                self.archived.entry(revision.0).or_insert(value);
                 ChainReply::Written
             }
             ChainCall::Swap(expected, value) => self.swap(expected, value),
         }
     }
 
-    // A fault either keeps the call from the service, loses the reply, or delays the write.
-    fn faulty(&mut self, call: ChainCall, random: &mut Pcg64Mcg, share: f64) -> ChainReply {
-        if !self.late.is_empty() && random.random_bool(0.5) {
-            let (expected, value) = self.late.remove(0);
+    // A fault prevents the call from reaching the service, loses the reply, or delays the write.
+    fn call_with_faults(
+        &mut self,
+        call: ChainCall,
+        random: &mut Pcg64Mcg,
+        fault_share: f64,
+    ) -> ChainReply {
+        if !self.late_writes.is_empty() && random.random_bool(0.5) {
+            let (expected, value) = self.late_writes.remove(0);
             self.swap(expected, value);
         }
-        if !random.random_bool(share) {
+        if !random.random_bool(fault_share) {
             return self.call(call);
         }
         match (random.random_range(0..3), call) {
             (0, _) => ChainReply::Failed(Ran::No),
             (1, ChainCall::Swap(expected, value)) => {
-                self.late.push((expected, value));
+                self.late_writes.push((expected, value));
                 ChainReply::Failed(Ran::Unknown)
             }
             (_, call) => {
@@ -62,32 +67,37 @@
     }
 }
 
-fn run(service: &mut Service, random: &mut Pcg64Mcg, share: f64, mut writer: ChainWriter) -> End {
+fn run(
+    service: &mut Service,
+    random: &mut Pcg64Mcg,
+    fault_share: f64,
+    mut writer: ChainWriter,
+) -> Outcome {
     let mut step = writer.start();
     for _ in 0..1_000 {
         match step {
             ChainStep::Call(_, call) => {
-                let reply = service.faulty(call, random, share);
+                let reply = service.call_with_faults(call, random, fault_share);
                 step = writer.reply(reply, random);
             }
-            ChainStep::Accepted(revision) => return End::Accepted(revision),
-            ChainStep::Refused(refusal) => return End::Refused(refusal),
+            ChainStep::Accepted(revision) => return Outcome::Accepted(revision),
+            ChainStep::Refused(refusal) => return Outcome::Refused(refusal),
         }
     }
     panic!("no outcome after 1000 calls");
 }
 
 #[derive(Debug, PartialEq)]
-enum End {
+enum Outcome {
     Accepted(Revision),
     Refused(ChainRefusal),
 }
 
-/// Checks that what writers were told is what the chain holds.
-fn check(service: &Service, told: &[(String, End)]) -> Result<(), String> {
+/// Checks that the outcomes that writers received agree with the content of the chain.
+fn check(service: &Service, outcomes: &[(String, Outcome)]) -> Result<(), String> {
     let newest = Head::decode(&service.head.1).expect("a head");
     let mut texts: BTreeMap<u64, String> = BTreeMap::new();
-    for (revision, value) in &service.kept {
+    for (revision, value) in &service.archived {
         texts.insert(*revision, Head::decode(value).expect("a copy").text);
     }
     texts.insert(newest.revision.0, newest.text);
@@ -96,13 +106,13 @@
             return Err(format!("revision {revision} has no copy"));
         }
     }
-    for (text, end) in told {
-        match end {
-            End::Accepted(revision) if texts.get(&revision.0) != Some(text) => {
-                return Err(format!("{text} was told accepted as {revision} but is not there"));
+    for (text, outcome) in outcomes {
+        match outcome {
+            Outcome::Accepted(revision) if texts.get(&revision.0) != Some(text) => {
+                return Err(format!("{text} was reported accepted as {revision} but is not there"));
             }
-            End::Refused(refusal) if texts.values().any(|kept| kept == text) => {
-                return Err(format!("{text} was told refused ({refusal}) but is there"));
+            Outcome::Refused(refusal) if texts.values().any(|archived| archived == text) => {
+                return Err(format!("{text} was reported refused ({refusal}) but is there"));
             }
             _ => {}
         }
@@ -110,57 +120,57 @@
     Ok(())
 }
 
-// Replies of the key-value service are lost and some writes land only later, while several
-// operators change the configuration. An operator who is told the wrong outcome applies a change
-// twice, or believes that one is in force that never will be.
+// Guards against an operator who receives the wrong outcome, and applies a change twice or relies
+// on one that is not in force, while replies of the key-value service are lost and writes are
+// applied late.
 #[rstest]
 #[case(0.0)]
 #[case(0.2)]
 #[case(0.6)]
-fn lost_replies(#[case] share: f64) {
+fn lost_replies(#[case] fault_share: f64) {
     let mut accepted = 0;
     for seed in 0..200 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut service = Service::default();
-        let mut told = Vec::new();
+        let mut outcomes = Vec::new();
         for nonce in 1..12 {
             let text = format!("text {nonce}");
             let writer = ChainWriter::new(None, text.clone(), nonce);
-            let end = run(&mut service, &mut random, share, writer);
-            accepted += u32::from(matches!(end, End::Accepted(_)));
-            told.push((text, end));
+            let outcome = run(&mut service, &mut random, fault_share, writer);
+            accepted += u32::from(matches!(outcome, Outcome::Accepted(_)));
+            outcomes.push((text, outcome));
         }
-        // Writes that were on their way all the time must not change what was told.
-        for (expected, value) in std::mem::take(&mut service.late) {
+        // Delayed writes that are applied now must not change the reported outcomes.
+        for (expected, value) in std::mem::take(&mut service.late_writes) {
             service.swap(expected, value);
         }
-        check(&service, &told).unwrap_or_else(|fault| panic!("seed {seed}: {fault}"));
+        check(&service, &outcomes).unwrap_or_else(|fault| panic!("seed {seed}: {fault}"));
     }
-    println!("200 schedules, {accepted} of 2200 changes accepted at fault share {share}");
+    println!("200 schedules, {accepted} of 2200 changes accepted at fault share {fault_share}");
     assert!(1_000 < accepted);
 }
 
-// A reader in place of a writer settles a lost reply: the write lands after the look, and the
-// operator who was told no sees the change in force.
+// The check has to detect a writer that resolves a lost reply by reading the key: the write is
+// applied after the read, so a change that was reported refused is in force.
 #[test]
-fn checker_sees_fault() {
+fn check_detects_wrong_outcomes() {
     let mut service = Service::default();
     let head = Head::default().next(7, "late".to_owned());
-    let told = vec![("late".to_owned(), End::Refused(ChainRefusal::Unreachable))];
+    let outcomes = vec![("late".to_owned(), Outcome::Refused(ChainRefusal::Unreachable))];
     service.swap(0, head.encode());
-    assert!(check(&service, &told).is_err());
-    let told = vec![("other".to_owned(), End::Accepted(Revision(1)))];
-    assert!(check(&service, &told).is_err());
+    assert!(check(&service, &outcomes).is_err());
+    let outcomes = vec![("other".to_owned(), Outcome::Accepted(Revision(1)))];
+    assert!(check(&service, &outcomes).is_err());
 }
 
-// Two operators start from the same revision. The slower one must see both revisions and the
-// text that won, or it would silently undo the other's change.
+// Two operators start from the same revision. The slower one must receive both revisions and the
+// accepted text, or it would silently overwrite the other's change.
 #[test]
 fn racing_operators() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut service = Service::default();
     let first = ChainWriter::new(Some(Revision(0)), "first", 1);
-    assert_eq!(run(&mut service, &mut random, 0.0, first), End::Accepted(Revision(1)));
+    assert_eq!(run(&mut service, &mut random, 0.0, first), Outcome::Accepted(Revision(1)));
     let second = ChainWriter::new(Some(Revision(0)), "second", 2);
     let refused = run(&mut service, &mut random, 0.0, second);
     let conflict = ChainRefusal::Conflict {
@@ -168,13 +178,13 @@
         found: Revision(1),
         text: "first".to_owned(),
     };
-    assert_eq!(refused, End::Refused(conflict));
+    assert_eq!(refused, Outcome::Refused(conflict));
 }
 
-// The reply to the swap is lost, then the winner is replaced by others before the writer hears
-// of it. The nonces in the newest value still tell that the change was accepted in between.
+// The reply to the swap is lost, and other writers replace the revision before the writer retries.
+// The nonces in the newest value still show that the change was accepted.
 #[test]
-fn superseded_before_told() {
+fn superseded_before_reply() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut service = Service::default();
     let mut writer = ChainWriter::new(None, "ours", 1);
@@ -195,13 +205,13 @@
     assert_eq!(writer.reply(reply, &mut random), ChainStep::Accepted(Revision(1)));
 }
 
-// A document near the service's limit for a value would be refused after part of the work was
-// done; it is refused before any call, with both sizes.
+// A text above the service's limit for a value must be refused before any call, with both sizes,
+// and not after part of the calls was made.
 #[test]
 fn too_long() {
     let writer = ChainWriter::new(None, "x".repeat(1 << 20), 1);
     let ChainStep::Refused(ChainRefusal::TooLong { bytes, limit }) = writer.start() else {
-        panic!("taken")
+        panic!("not refused")
     };
     assert_eq!(bytes, 1 << 20);
     assert!(limit < bytes);
--- a/crates/coord/tests/entry_order.rs
+++ b/crates/coord/tests/entry_order.rs
@@ -1,4 +1,4 @@
-//! The order in which callers are told addresses.
+//! The order of the addresses that callers receive.
 
 use std::collections::BTreeMap;
 
@@ -22,25 +22,25 @@
     (0..count).map(candidate).collect()
 }
 
-fn firsts(candidates: &[Candidate]) -> BTreeMap<u64, Incarnation> {
-    let mut firsts = BTreeMap::new();
+fn first_choices(candidates: &[Candidate]) -> BTreeMap<u64, Incarnation> {
+    let mut first_choices = BTreeMap::new();
     for caller in 0..CALLERS {
         let caller = xxh3_64(&caller.to_le_bytes());
-        firsts.insert(caller, order(caller, candidates, MAX_ADDRESSES)[0].incarnation);
+        first_choices.insert(caller, order(caller, candidates, MAX_ADDRESSES)[0].incarnation);
     }
-    firsts
+    first_choices
 }
 
-fn counts(firsts: &BTreeMap<u64, Incarnation>) -> BTreeMap<Incarnation, u64> {
+fn counts(first_choices: &BTreeMap<u64, Incarnation>) -> BTreeMap<Incarnation, u64> {
     let mut counts = BTreeMap::new();
-    for first in firsts.values() {
+    for first in first_choices.values() {
         *counts.entry(*first).or_default() += 1;
     }
     counts
 }
 
-// A zone is taken back at once. A caller whose first two addresses lay in it would try both in
-// vain before it reaches anyone.
+// The VMs of a zone are reclaimed together. A caller whose first two addresses are in that zone
+// would have two failed attempts before it reaches a node.
 #[rstest]
 #[case(5, 4)]
 #[case(34, 10)]
@@ -54,47 +54,47 @@
     }
 }
 
-// A node leaves. Its callers must not all go to one other node, and everyone else's must stay
-// where their prefixes are cached.
+// A node leaves. Its callers must not all move to one other node, and the callers of other nodes
+// must stay where their prefixes are cached.
 #[rstest]
 #[case(5, 4)]
 #[case(34, 10)]
-fn leaving_without_pile_up(#[case] nodes: u64, #[case] zones: u64) {
+fn leaving_spreads_callers(#[case] nodes: u64, #[case] zones: u64) {
     let all = candidates(nodes, zones);
-    let before = firsts(&all);
-    let gone = all[1].incarnation;
-    let rest: Vec<Candidate> = all.into_iter().filter(|it| it.incarnation != gone).collect();
-    let after = firsts(&rest);
+    let before = first_choices(&all);
+    let leaving = all[1].incarnation;
+    let rest: Vec<Candidate> = all.into_iter().filter(|it| it.incarnation != leaving).collect();
+    let after = first_choices(&rest);
     let mut moved: BTreeMap<Incarnation, u64> = BTreeMap::new();
     for (caller, first) in &before {
-        if *first == gone {
+        if *first == leaving {
             *moved.entry(after[caller]).or_default() += 1;
         } else {
             assert_eq!(after[caller], *first);
         }
     }
     let total: u64 = moved.values().sum();
-    let most = moved.values().max().copied().unwrap_or_default();
-    let fair = total as f64 / (nodes - 1) as f64;
-    assert!((most as f64) < fair * 2.0 + 10.0, "{most} of {total} callers go to one node");
+    let max = moved.values().max().copied().unwrap_or_default();
+    let fair_share = total as f64 / (nodes - 1) as f64;
+    assert!((max as f64) < fair_share * 2.0 + 10.0, "{max} of {total} callers move to one node");
 }
 
 #[test]
 fn weighted_by_capacity() {
     let mut candidates = candidates(5, 4);
     candidates[0].capacity = 2;
-    let counts = counts(&firsts(&candidates));
+    let counts = counts(&first_choices(&candidates));
     let small = counts[&candidates[0].incarnation] as f64;
     let full = counts[&candidates[1].incarnation] as f64;
     assert!((0.2..0.3).contains(&(small / full)), "{counts:?}");
 }
 
 #[test]
-fn suspected_come_last() {
+fn suspected_rank_last() {
     let mut candidates = candidates(5, 4);
     candidates[3].suspected = true;
     let suspected = candidates[3].incarnation;
-    assert!(firsts(&candidates).values().all(|first| *first != suspected));
+    assert!(first_choices(&candidates).values().all(|first| *first != suspected));
 }
 
 #[test]
@@ -103,7 +103,8 @@
     assert_eq!(order(1, &candidates(1, 1), MAX_ADDRESSES).len(), 1);
 }
 
-// Load that swings about a limit would move callers to and fro and tell all nodes each time.
+// Without hysteresis a load that oscillates around a limit would move callers back and forth and
+// update all nodes each time.
 #[test]
 fn headroom_levels() {
     let mut headroom = Headroom::default();
--- a/crates/coord/tests/handoff_schedules.rs
+++ b/crates/coord/tests/handoff_schedules.rs
@@ -1,10 +1,11 @@
-//! Ownership under many schedules of lost, doubled and late messages, crashes, pauses and leaves.
+//! Ownership under many schedules with lost, duplicated and delayed messages, crashes, pauses and
+//! drains.
 
 mod cluster;
 
 use std::{io::Write, thread};
 
-use cluster::{Event, Fault, Mutant, Plan, World, check};
+use cluster::{Event, Mutant, Plan, Violation, World, check};
 use rstest::rstest;
 
 const SCHEDULES: u64 = 80_000;
@@ -13,7 +14,7 @@
 
 #[derive(Default)]
 struct Outcome {
-    broken: Vec<(u64, Vec<Fault>)>,
+    violations: Vec<(u64, Vec<Violation>)>,
     resumed: u64,
     replaced: u64,
     diverged: u64,
@@ -22,10 +23,10 @@
 impl Outcome {
     fn add(&mut self, seed: u64) {
         let plan = Plan::draw(seed);
-        let trace = World::play(plan.clone());
-        let faults = check(&plan, &trace);
-        if !faults.is_empty() {
-            self.broken.push((seed, faults));
+        let trace = World::simulate(plan.clone());
+        let violations = check(&plan, &trace);
+        if !violations.is_empty() {
+            self.violations.push((seed, violations));
         }
         let diverged = trace.iter().any(|event| matches!(event, Event::Diverged { .. }));
         self.resumed += u64::from(trace.contains(&Event::Resumed));
@@ -33,24 +34,25 @@
         self.diverged += u64::from(diverged);
     }
 
-    fn join(&mut self, other: Outcome) {
-        self.broken.extend(other.broken);
+    fn merge(&mut self, other: Outcome) {
+        self.violations.extend(other.violations);
         self.resumed += other.resumed;
         self.replaced += other.replaced;
         self.diverged += other.diverged;
     }
 }
 
-fn broken(seed: u64, mutant: Option<Mutant>) -> Vec<Fault> {
+fn violations_of(seed: u64, mutant: Option<Mutant>) -> Vec<Violation> {
     let plan = Plan { mutant, ..Plan::draw(seed) };
-    let trace = World::play(plan.clone());
+    let trace = World::simulate(plan.clone());
     check(&plan, &trace)
 }
 
-// Messages between nodes are lost, come twice, late and out of order; nodes die, pause and leave.
-// A reader would see a token twice, two halves of two texts, or nothing at all.
+// Guards against readers that receive a token twice, parts of two different texts, or no response,
+// while messages between nodes are lost, duplicated, delayed and reordered and nodes die, pause and
+// leave.
 #[test]
-fn all_promises() {
+fn all_guarantees() {
     let mut threads = Vec::new();
     for part in 0..THREADS {
         threads.push(thread::spawn(move || {
@@ -63,34 +65,35 @@
     }
     let mut all = Outcome::default();
     for thread in threads {
-        all.join(thread.join().expect("a finished part"));
+        all.merge(thread.join().expect("a finished thread"));
     }
-    all.broken.sort();
-    let Outcome { broken, resumed, replaced, diverged } = all;
-    tell(format!(
-        "{SCHEDULES} schedules of the handoff: {} broken, {resumed} resumed elsewhere, \
-         {replaced} with another holder, {diverged} with a reader sent back",
-        broken.len(),
+    all.violations.sort();
+    let Outcome { violations, resumed, replaced, diverged } = all;
+    print_line(format!(
+        "{SCHEDULES} handoff schedules: {} with violations, {resumed} resumed on another node, \
+         {replaced} with a replaced holder, {diverged} with a reader that started over",
+        violations.len(),
     ));
-    assert!(broken.is_empty(), "{:?}", &broken[..broken.len().min(20)]);
+    assert!(violations.is_empty(), "{:?}", &violations[..violations.len().min(20)]);
     assert!(SCHEDULES / 10 < resumed && 0 < replaced);
 }
 
-// Each checker must be able to fail: a fault is planted, and the checker has to find it.
+// Each check must be able to fail: it has to detect an injected fault.
 #[rstest]
-#[case(Mutant::ShowsEarly, Fault::TwoTexts)]
-#[case(Mutant::ReadsBlindly, Fault::Mixed)]
-#[case(Mutant::NeverTakesOver, Fault::Lost)]
-#[case(Mutant::ForgetsCopies, Fault::NoCopy)]
-fn planted_faults(#[case] mutant: Mutant, #[case] expected: Fault) {
+#[case(Mutant::ReleasesEarly, Violation::DivergingTexts)]
+#[case(Mutant::SkipsPrefixCheck, Violation::MixedText)]
+#[case(Mutant::NeverTakesOver, Violation::LostRequest)]
+#[case(Mutant::DropsCopies, Violation::MissingCopy)]
+fn injected_faults(#[case] mutant: Mutant, #[case] expected: Violation) {
     let caught = (0..MUTANT_SCHEDULES)
-        .filter(|seed| broken(*seed, Some(mutant)).contains(&expected))
+        .filter(|seed| violations_of(*seed, Some(mutant)).contains(&expected))
         .count();
-    tell(format!("{mutant:?}: {caught} of {MUTANT_SCHEDULES} schedules show {expected:?}"));
+    print_line(format!("{mutant:?}: {caught} of {MUTANT_SCHEDULES} schedules show {expected:?}"));
     assert!(0 < caught);
 }
 
-// Written past the test harness, so that counts are seen in every run.
-fn tell(line: impl AsRef<str>) {
+// Writes to stdout directly, past the capture of the test harness, so that every run shows the
+// counts.
+fn print_line(line: impl AsRef<str>) {
     let _ = writeln!(std::io::stdout(), "{}", line.as_ref());
 }
--- a/crates/coord/tests/leaving_holder.rs
+++ b/crates/coord/tests/leaving_holder.rs
@@ -1,4 +1,4 @@
-//! A copy outlives the node that holds it when that node leaves and the owner dies.
+//! A request survives if its holder leaves and its owner dies.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 const OWNER: usize = 0;
 const STEP: Duration = Duration::from_millis(50);
 
-struct Trio {
+/// A `Cluster` simulates an owner, its holder and a third node.
+struct Cluster {
     now: Stamp,
     machines: Vec<Ownership>,
     alive: [bool; 3],
@@ -28,17 +29,17 @@
     ZoneName::new(format!("zone-{at}")).expect("a name")
 }
 
-impl Trio {
-    fn start() -> Trio {
+impl Cluster {
+    fn start() -> Cluster {
         let options = OwnershipOptions::default;
         let machines = (0..3).map(|at| Ownership::new(incarnation(at), zone(at), options()));
         let machines = machines.collect();
         let (alive, leaving) = ([true; 3], [false; 3]);
-        let mut trio = Trio { now: Stamp(0), machines, alive, leaving, started: Vec::new() };
-        trio.tell_members();
-        let accepted = trio.machines[OWNER].accept(trio.now, id(), "body".into());
-        trio.carry_out(OWNER, accepted);
-        trio
+        let mut cluster = Cluster { now: Stamp(0), machines, alive, leaving, started: Vec::new() };
+        cluster.update_members();
+        let accepted = cluster.machines[OWNER].accept(cluster.now, id(), "body".into());
+        cluster.carry_out(OWNER, accepted);
+        cluster
     }
 
     fn holder(&self) -> usize {
@@ -55,7 +56,7 @@
         self.alive[at] = false;
     }
 
-    fn tell_members(&mut self) {
+    fn update_members(&mut self) {
         for at in 0..3 {
             let others = (0..3).filter(|other| *other != at && self.alive[*other]);
             let peers = others.map(|other| Peer {
@@ -68,7 +69,7 @@
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.now = self.now + STEP;
@@ -105,71 +106,70 @@
     }
 }
 
-// The holder's VM is being taken back. Before the owner has heard of it, the owner dies without
-// notice, and the holder goes at the end of its notice. The caller of the accepted request would
-// get no answer from anyone.
+// The holder's VM is being reclaimed. The owner dies before it has received that, and the holder
+// ends with its notice. Without a copy at the third node the caller would get no response.
 #[test]
 fn owner_dies() {
-    let mut trio = Trio::start();
-    let holder = trio.holder();
+    let mut cluster = Cluster::start();
+    let holder = cluster.holder();
     let third = 3 - OWNER - holder;
-    trio.leave(holder);
-    trio.kill(OWNER);
-    trio.pass(Duration::from_secs(1));
-    trio.kill(holder);
-    trio.tell_members();
-    trio.pass(Duration::from_secs(2));
-    assert_eq!(trio.started, [third]);
-    assert!(trio.machines[third].version(id()).is_some());
+    cluster.leave(holder);
+    cluster.kill(OWNER);
+    cluster.advance(Duration::from_secs(1));
+    cluster.kill(holder);
+    cluster.update_members();
+    cluster.advance(Duration::from_secs(2));
+    assert_eq!(cluster.started, [third]);
+    assert!(cluster.machines[third].version(id()).is_some());
 }
 
-// The owner hears that its holder is leaving. It copies the request to another peer at once, and
-// is not disturbed by what the old holder has passed on itself.
+// The owner receives that its holder is leaving and copies the request to another peer at once. The
+// copy that the old holder passes on must not interfere.
 #[test]
-fn owner_copies_anew() {
-    let mut trio = Trio::start();
-    let holder = trio.holder();
+fn owner_replaces_leaving_holder() {
+    let mut cluster = Cluster::start();
+    let holder = cluster.holder();
     let third = 3 - OWNER - holder;
-    trio.leave(holder);
-    trio.tell_members();
-    trio.pass(Duration::from_secs(1));
-    assert!(trio.machines[third].held_body(id()).is_some());
-    trio.kill(holder);
-    trio.tell_members();
-    trio.pass(Duration::from_secs(1));
-    assert!(trio.started.is_empty());
-    trio.kill(OWNER);
-    trio.tell_members();
-    trio.pass(Duration::from_secs(2));
-    assert_eq!(trio.started, [third]);
+    cluster.leave(holder);
+    cluster.update_members();
+    cluster.advance(Duration::from_secs(1));
+    assert!(cluster.machines[third].held_body(id()).is_some());
+    cluster.kill(holder);
+    cluster.update_members();
+    cluster.advance(Duration::from_secs(1));
+    assert!(cluster.started.is_empty());
+    cluster.kill(OWNER);
+    cluster.update_members();
+    cluster.advance(Duration::from_secs(2));
+    assert_eq!(cluster.started, [third]);
 }
 
-// A leaving holder has passed its copy on, and then the owner is seen to be dead by both. Were
-// both to take the request over, it would run twice.
+// A leaving holder has passed its copy on, and then both peers consider the owner dead. If both
+// took the request over, it would run twice.
 #[test]
 fn one_takeover() {
-    let mut trio = Trio::start();
-    let holder = trio.holder();
-    trio.leave(holder);
-    trio.pass(Duration::from_secs(1));
-    trio.kill(OWNER);
-    trio.tell_members();
-    trio.pass(Duration::from_secs(3));
-    assert_eq!(trio.started.len(), 1, "started at {:?}", trio.started);
+    let mut cluster = Cluster::start();
+    let holder = cluster.holder();
+    cluster.leave(holder);
+    cluster.advance(Duration::from_secs(1));
+    cluster.kill(OWNER);
+    cluster.update_members();
+    cluster.advance(Duration::from_secs(3));
+    assert_eq!(cluster.started.len(), 1, "started at {:?}", cluster.started);
 }
 
-// The holder dies, and before any member list shows it the owner's own VM is taken back. The
-// owner offers the request to a holder that is no more; it has to turn to the third node within
-// the seconds of the notice.
+// The holder dies, and before the membership shows that the owner's VM is reclaimed. The owner
+// offers the request to the dead holder first, and has to offer it to the third node within the
+// notice.
 #[test]
 fn holder_dies() {
-    let mut trio = Trio::start();
-    let holder = trio.holder();
+    let mut cluster = Cluster::start();
+    let holder = cluster.holder();
     let third = 3 - OWNER - holder;
-    trio.kill(holder);
-    trio.leave(OWNER);
-    let actions = trio.machines[OWNER].hand_over(trio.now, id());
-    trio.carry_out(OWNER, actions);
-    trio.pass(Duration::from_millis(800));
-    assert_eq!(trio.started, [third]);
+    cluster.kill(holder);
+    cluster.leave(OWNER);
+    let actions = cluster.machines[OWNER].hand_over(cluster.now, id());
+    cluster.carry_out(OWNER, actions);
+    cluster.advance(Duration::from_millis(800));
+    assert_eq!(cluster.started, [third]);
 }
--- a/crates/coord/tests/leaving_notices.rs
+++ b/crates/coord/tests/leaving_notices.rs
@@ -1,4 +1,4 @@
-//! Which VMs are known to leave, whoever tells first.
+//! Which VMs are known to leave, whichever source reports first.
 
 use bulrushhall_coord::{Departure, Notices, Source};
 use bulrushhall_core::{Stamp, VmName};
@@ -7,8 +7,8 @@
     VmName::new(name).expect("a name")
 }
 
-// The list of VMs lags: it still shows a VM as staying after its notice. A node that believed
-// the list would send work to a VM that is gone in seconds.
+// The list of VMs lags: it still shows a VM as staying after its notice. A node that relied on the
+// list would send work to a VM that ends within seconds.
 #[test]
 fn lagging_list() {
     let mut notices = Notices::default();
@@ -31,7 +31,7 @@
     assert_eq!(some.hash(), others.hash());
 }
 
-// VMs come and go for years while a node may live on. The memory of them must not grow for ever.
+// Guards against memory that grows with the number of VMs that have ever left.
 #[test]
 fn bounded_memory() {
     let mut notices = Notices::default();
--- a/crates/coord/tests/orders/mod.rs
+++ b/crates/coord/tests/orders/mod.rs
@@ -1,8 +1,8 @@
-//! A few nodes, the key-value service and a plain service, in simulated time.
+//! A simulation of a few nodes, the key-value service and a plain service.
 
 pub mod check;
 pub mod store;
 pub mod world;
 
-pub use check::{Fault, check};
+pub use check::{Violation, check};
 pub use world::{Mutant, Plan, World};
--- a/crates/coord/tests/orders/store.rs
+++ b/crates/coord/tests/orders/store.rs
@@ -1,4 +1,4 @@
-//! One record a shard, with compare-and-swap.
+//! A store with one record per shard and compare-and-swap.
 
 use std::collections::BTreeMap;
 
--- a/crates/coord/tests/orders/world.rs
+++ b/crates/coord/tests/orders/world.rs
@@ -1,4 +1,4 @@
-//! The simulation of one schedule of orders.
+//! The simulation of one schedule of non-repeatable calls.
 
 use std::{
     cmp::Reverse,
@@ -19,33 +19,34 @@
 
 const NODES: usize = 3;
 const KEYS: u8 = 3;
-const TRIES: usize = 10;
-const TICK: Duration = Duration::from_millis(60);
-const TROUBLED: Duration = Duration::from_secs(3);
+const CALLS: usize = 10;
+const TICK_INTERVAL: Duration = Duration::from_millis(60);
+const FAULT_TIME: Duration = Duration::from_secs(3);
 const END: Duration = Duration::from_secs(8);
-/// The key that is ordered once everything works again.
+/// The key whose call is made once there are no faults any more.
 const LAST_KEY: u8 = 7;
 
-/// A `Plan` tells what goes wrong in one schedule.
+/// A `Plan` is the input of one schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub seed: u64,
     pub mutant: Option<Mutant>,
 }
 
-/// A `Mutant` is a planted fault that a checker has to notice.
+/// A `Mutant` is an injected fault that a check has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// A write without an answer is taken for done.
-    TrustsSilence,
-    /// Each node runs what reaches it, without asking for the key's home.
+    /// A write without a reply counts as written.
+    AssumesWritten,
+    /// Each node runs the calls that it receives without determining the key's home.
     IgnoresHomes,
-    /// A call whose answer is lost is told as not run.
-    CallsLostNotRun,
+    /// A call whose answer is lost is reported as not run.
+    ReportsLostAsNotRun,
     /// The record is never read again after a failed call.
     NeverRetries,
 }
 
+/// A `World` is the simulation of one schedule.
 pub struct World {
     plan: Plan,
     random: Pcg64Mcg,
@@ -54,7 +55,7 @@
     steps: u64,
     store: Store,
     nodes: Vec<Node>,
-    trouble: Trouble,
+    faults: FaultRates,
     trace: Vec<Event>,
 }
 
@@ -69,10 +70,10 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
-    lost: f64,
-    late: f64,
-    down: f64,
+struct FaultRates {
+    lost_reply: f64,
+    late_write: f64,
+    unavailable: f64,
     lost_answer: f64,
 }
 
@@ -99,11 +100,16 @@
 }
 
 impl World {
-    /// Plays a schedule through and returns what happened.
-    pub fn play(plan: Plan) -> Vec<Event> {
+    /// Simulates a schedule and returns its events.
+    pub fn simulate(plan: Plan) -> Vec<Event> {
         let mut random = Pcg64Mcg::seed_from_u64(plan.seed);
         let mut share = || [0.0, 0.1, 0.4][random.random_range(0..3)];
-        let trouble = Trouble { lost: share(), late: share(), down: share(), lost_answer: share() };
+        let faults = FaultRates {
+            lost_reply: share(),
+            late_write: share(),
+            unavailable: share(),
+            lost_answer: share(),
+        };
         let mut world = World {
             plan,
             random,
@@ -112,7 +118,7 @@
             steps: 0,
             store: Store::default(),
             nodes: (0..NODES).map(|at| node(Incarnation(at as u64 + 1))).collect(),
-            trouble,
+            faults,
             trace: Vec::new(),
         };
         world.run();
@@ -121,9 +127,9 @@
 
     fn run(&mut self) {
         for at in 0..NODES {
-            self.after(TICK, Step::Tick(at));
+            self.after(TICK_INTERVAL, Step::Tick(at));
         }
-        for _ in 0..TRIES {
+        for _ in 0..CALLS {
             let (node, key) =
                 (self.random.random_range(0..NODES), self.random.random_range(0..KEYS));
             let at = Duration::from_millis(self.random.random_range(0..2_500));
@@ -147,34 +153,39 @@
                 break;
             }
             self.now = at;
-            if TROUBLED < at.since(Stamp(0)) {
-                self.trouble = Trouble { lost: 0.0, late: 0.0, down: 0.0, lost_answer: 0.0 };
+            if FAULT_TIME < at.since(Stamp(0)) {
+                self.faults = FaultRates {
+                    lost_reply: 0.0,
+                    late_write: 0.0,
+                    unavailable: 0.0,
+                    lost_answer: 0.0,
+                };
             }
             self.step(step);
         }
         let answered = self.trace.contains(&Event::Answered { key: LAST_KEY });
-        self.trace.push(Event::Works { key: LAST_KEY, answered });
+        self.trace.push(Event::Recovered { key: LAST_KEY, answered });
     }
 
     fn step(&mut self, step: Step) {
         if let Some(at) = step.node()
             && self.now < self.nodes[at].awake_at
         {
-            let wakes = self.nodes[at].awake_at;
-            self.push(wakes, step);
+            let awake_at = self.nodes[at].awake_at;
+            self.push(awake_at, step);
             return;
         }
         let (now, wall) = (self.now, self.now.0 / 1_000);
         match step {
             Step::Order(at, key) => self.order(at, key),
-            Step::Read(at, life, shard) => {
-                let down = self.random.random_bool(self.trouble.down);
-                let found = (!down).then(|| self.store.get(Shard(shard)));
+            Step::Read(at, incarnation, shard) => {
+                let is_unavailable = self.random.random_bool(self.faults.unavailable);
+                let found = (!is_unavailable).then(|| self.store.get(Shard(shard)));
                 let time = self.latency();
-                self.after(time, Step::Found(at, life, shard, found));
+                self.after(time, Step::Found(at, incarnation, shard, found));
             }
-            Step::Found(at, life, shard, found) => {
-                if self.nodes[at].incarnation != life {
+            Step::Found(at, incarnation, shard, found) => {
+                if self.nodes[at].incarnation != incarnation {
                     return;
                 }
                 if found.is_none() && self.plan.mutant == Some(Mutant::NeverRetries) {
@@ -183,40 +194,40 @@
                 let actions = self.nodes[at].claims.read(now, wall, Shard(shard), found);
                 self.carry_out(at, actions);
             }
-            Step::Write(at, life, shard, version, record) => {
-                self.write(at, life, shard, version, record);
+            Step::Write(at, incarnation, shard, version, record) => {
+                self.write(at, incarnation, shard, version, record);
             }
             Step::LateWrite(shard, version, record) => {
                 self.store.swap(Shard(shard), version, record);
             }
-            Step::Swap(at, life, shard, reply) => {
-                if self.nodes[at].incarnation != life {
+            Step::Swap(at, incarnation, shard, reply) => {
+                if self.nodes[at].incarnation != incarnation {
                     return;
                 }
-                let swapped = match reply {
+                let result = match reply {
                     Reply::Written(version) => SwapResult::Written(version),
                     Reply::Conflict(version, bytes) => SwapResult::Conflict(version, bytes),
-                    Reply::Failed if self.plan.mutant == Some(Mutant::TrustsSilence) => {
+                    Reply::Failed if self.plan.mutant == Some(Mutant::AssumesWritten) => {
                         SwapResult::Written(u64::MAX)
                     }
                     Reply::Failed => SwapResult::Failed,
                 };
-                let actions = self.nodes[at].claims.swapped(now, wall, Shard(shard), swapped);
+                let actions = self.nodes[at].claims.swapped(now, wall, Shard(shard), result);
                 self.carry_out(at, actions);
             }
-            Step::Execute(at, life, key) => self.execute(at, life, key),
-            Step::Executed(at, life, key, ran) => self.executed(at, life, key, ran),
+            Step::Execute(at, incarnation, key) => self.execute(at, incarnation, key),
+            Step::Executed(at, incarnation, key, ran) => self.executed(at, incarnation, key, ran),
             Step::Crash(at) => self.crash(at),
             Step::Pause(at, time) => self.nodes[at].awake_at = now + Duration::from_millis(time),
             Step::Tick(at) => {
-                self.after(TICK, Step::Tick(at));
+                self.after(TICK_INTERVAL, Step::Tick(at));
                 let actions = self.nodes[at].claims.tick(now, wall);
                 self.carry_out(at, actions);
             }
         }
     }
 
-    // The VM is replaced by a new life that knows nothing of the old one's memory.
+    // The node restarts as a new incarnation with empty state.
     fn crash(&mut self, at: usize) {
         let next = Incarnation(self.nodes[at].incarnation.0 + 10);
         self.nodes[at] = node(next);
@@ -224,29 +235,36 @@
 
     fn order(&mut self, at: usize, key: u8) {
         if self.plan.mutant == Some(Mutant::IgnoresHomes) {
-            self.at_home(at, key);
+            self.run_at_home(at, key);
             return;
         }
         let hash = KeyHash::new(&team(), &[key]);
-        // Nodes write their own claims or have another node write them.
-        let life = self.nodes[at].incarnation;
+        // A node writes its claims itself or has another node write them.
+        let incarnation = self.nodes[at].incarnation;
         let writer = if self.random.random_bool(0.5) { at } else { 0 };
         self.nodes[writer].waiting.entry(hash).or_default().push(key);
         let wall = self.now.0 / 1_000;
-        let actions = self.nodes[writer].claims.bind(self.now, wall, hash, life);
+        let actions = self.nodes[writer].claims.bind(self.now, wall, hash, incarnation);
         self.carry_out(writer, actions);
     }
 
-    fn write(&mut self, at: usize, life: Incarnation, shard: u16, version: u64, record: Bytes) {
+    fn write(
+        &mut self,
+        at: usize,
+        incarnation: Incarnation,
+        shard: u16,
+        version: u64,
+        record: Bytes,
+    ) {
         let time = self.latency();
-        if self.random.random_bool(self.trouble.down) {
-            self.after(time, Step::Swap(at, life, shard, Reply::Failed));
+        if self.random.random_bool(self.faults.unavailable) {
+            self.after(time, Step::Swap(at, incarnation, shard, Reply::Failed));
             return;
         }
-        if self.random.random_bool(self.trouble.late) {
+        if self.random.random_bool(self.faults.late_write) {
             let late = Duration::from_millis(self.random.random_range(1..1_500));
             self.after(late, Step::LateWrite(shard, version, record));
-            self.after(time, Step::Swap(at, life, shard, Reply::Failed));
+            self.after(time, Step::Swap(at, incarnation, shard, Reply::Failed));
             return;
         }
         let reply = match self.store.swap(Shard(shard), version, record) {
@@ -254,87 +272,91 @@
             SwapResult::Conflict(version, bytes) => Reply::Conflict(version, bytes),
             SwapResult::Failed => Reply::Failed,
         };
-        let lost = self.random.random_bool(self.trouble.lost);
-        self.after(time, Step::Swap(at, life, shard, if lost { Reply::Failed } else { reply }));
+        let lost = self.random.random_bool(self.faults.lost_reply);
+        self.after(
+            time,
+            Step::Swap(at, incarnation, shard, if lost { Reply::Failed } else { reply }),
+        );
     }
 
     fn carry_out(&mut self, at: usize, actions: Vec<ClaimsAction>) {
-        let life = self.nodes[at].incarnation;
+        let incarnation = self.nodes[at].incarnation;
         for action in actions {
             let time = self.latency();
             match action {
-                ClaimsAction::Read(shard) => self.after(time, Step::Read(at, life, shard.0)),
+                ClaimsAction::Read(shard) => self.after(time, Step::Read(at, incarnation, shard.0)),
                 ClaimsAction::Write(shard, version, record) => {
-                    self.after(time, Step::Write(at, life, shard.0, version, record));
+                    self.after(time, Step::Write(at, incarnation, shard.0, version, record));
                 }
                 ClaimsAction::Bound(key, home) => {
                     let waiting = self.nodes[at].waiting.remove(&key).unwrap_or_default();
                     for key in waiting {
-                        self.pass_on(home, key);
+                        self.forward(home, key);
                     }
                 }
                 ClaimsAction::Refused(key, _) => {
                     for key in self.nodes[at].waiting.remove(&key).unwrap_or_default() {
-                        self.trace.push(Event::Told { key, ran: Ran::Unknown });
+                        self.trace.push(Event::Reported { key, ran: Ran::Unknown });
                     }
                 }
             }
         }
     }
 
-    fn pass_on(&mut self, home: Incarnation, key: u8) {
+    fn forward(&mut self, home: Incarnation, key: u8) {
         match self.nodes.iter().position(|node| node.incarnation == home && node.alive) {
-            Some(at) => self.at_home(at, key),
-            None => self.trace.push(Event::Told { key, ran: Ran::Unknown }),
+            Some(at) => self.run_at_home(at, key),
+            None => self.trace.push(Event::Reported { key, ran: Ran::Unknown }),
         }
     }
 
-    fn at_home(&mut self, at: usize, key: u8) {
+    fn run_at_home(&mut self, at: usize, key: u8) {
         let now = self.now;
         let node = &mut self.nodes[at];
         match node.ledger.claim(now, &team(), &Bytes::copy_from_slice(&[key]), 1) {
             Claim::Run => {
                 node.attempts.entry(key).or_default().begin();
-                let life = node.incarnation;
+                let incarnation = node.incarnation;
                 let time = self.latency();
-                self.after(time, Step::Execute(at, life, key));
+                self.after(time, Step::Execute(at, incarnation, key));
             }
             Claim::Settled(_, Some(_)) => self.trace.push(Event::Answered { key }),
-            Claim::Settled(ran, None) => self.trace.push(Event::Told { key, ran }),
+            Claim::Settled(ran, None) => self.trace.push(Event::Reported { key, ran }),
             Claim::Running | Claim::OtherBody | Claim::Full => {
-                self.trace.push(Event::Told { key, ran: Ran::Unknown });
+                self.trace.push(Event::Reported { key, ran: Ran::Unknown });
             }
         }
     }
 
-    fn execute(&mut self, at: usize, life: Incarnation, key: u8) {
+    fn execute(&mut self, at: usize, incarnation: Incarnation, key: u8) {
         let time = self.latency();
-        // A connection that cannot be opened has carried nothing.
-        let ended = if self.random.random_bool(self.trouble.down) {
+        // A connection that cannot be opened has transferred nothing.
+        let ended = if self.random.random_bool(self.faults.unavailable) {
             Ran::No
         } else {
             self.trace.push(Event::Executed { key });
-            let lost = self.random.random_bool(self.trouble.lost_answer);
+            let lost = self.random.random_bool(self.faults.lost_answer);
             if lost { Ran::Unknown } else { Ran::Yes }
         };
-        self.after(time, Step::Executed(at, life, key, ended));
+        self.after(time, Step::Executed(at, incarnation, key, ended));
     }
 
-    fn executed(&mut self, at: usize, life: Incarnation, key: u8, ran: Ran) {
+    fn executed(&mut self, at: usize, incarnation: Incarnation, key: u8, ran: Ran) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        if node.incarnation != life {
+        if node.incarnation != incarnation {
             return;
         }
-        let lies = self.plan.mutant == Some(Mutant::CallsLostNotRun) && ran == Ran::Unknown;
+        let misreports =
+            self.plan.mutant == Some(Mutant::ReportsLostAsNotRun) && ran == Ran::Unknown;
         let attempts = node.attempts.entry(key).or_default();
-        attempts.end(if lies { Ran::No } else { ran });
+        attempts.end(if misreports { Ran::No } else { ran });
         let ran = attempts.ran();
         let stored = (ran == Ran::Yes).then(|| Bytes::from_static(b"answer"));
         node.ledger.settle(now, &team(), &Bytes::copy_from_slice(&[key]), ran, stored);
         self.trace.push(match ran {
             Ran::Yes => Event::Answered { key },
-            ran => Event::Told { key, ran },
+            ran => Event::Reported { key, ran },
         });
     }
 
--- a/crates/coord/tests/relay_plan.rs
+++ b/crates/coord/tests/relay_plan.rs
@@ -1,4 +1,4 @@
-//! Whom nodes exchange news with, as the plan of each tells it.
+//! The nodes with which each node exchanges updates, by its plan.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -44,8 +44,8 @@
     assert!(Fleet::new(16, 4).plans().values().all(|plan| plan.role == Role::Flat));
 }
 
-// Guards against messages that grow with the square of the nodes: all nodes together exchange news with a
-// number of others that grows with the nodes and the square of the zones.
+// Guards against a number of messages that grows with the square of the nodes: the pairs of nodes
+// that exchange updates grow with the nodes and the square of the zones.
 #[rstest]
 #[case(30, 4)]
 #[case(60, 4)]
@@ -53,9 +53,9 @@
 #[case(340, 10)]
 fn messages_of_all(#[case] nodes: usize, #[case] zones: usize) {
     let plans = Fleet::new(nodes, zones).plans();
-    let asked: usize = plans.values().map(|plan| plan.near.len() + plan.far.len()).sum();
+    let pairs: usize = plans.values().map(|plan| plan.near.len() + plan.far.len()).sum();
     let relays = RELAYS * zones;
-    assert!(asked <= RELAYS * nodes + relays * relays, "{asked} pairs");
+    assert!(pairs <= RELAYS * nodes + relays * relays, "{pairs} pairs");
     assert_eq!(plans.values().filter(|plan| plan.role == Role::Relay).count(), relays);
 }
 
@@ -66,13 +66,13 @@
     for (node, zone) in &fleet.nodes {
         let plan = &plans[node];
         for relay in plan.near.iter().chain(&plan.far) {
-            assert_eq!(plans[relay].role, Role::Relay, "{node} of {zone} asks {relay}");
+            assert_eq!(plans[relay].role, Role::Relay, "{node} of {zone} contacts {relay}");
         }
     }
 }
 
-// Guards against a zone that is cut off from news since its relays are gone, and against a relay that is
-// never asked again.
+// Guards against a zone that receives no updates because its relays are dead, and against a relay
+// that is never contacted again.
 #[test]
 fn silent_relays() {
     let mut fleet = Fleet::new(120, 6);
@@ -81,13 +81,13 @@
     let member = member.expect("a member");
     fleet.silent = plans[&fleet.nodes[member].0].near.iter().cloned().collect();
     let plan = fleet.plan(member);
-    let sound = plan.near.iter().filter(|node| !fleet.silent.contains(*node)).count();
+    let responsive = plan.near.iter().filter(|node| !fleet.silent.contains(*node)).count();
     let is_relay = usize::from(plan.role == Role::Relay);
-    assert_eq!(sound + is_relay, RELAYS);
+    assert_eq!(responsive + is_relay, RELAYS);
     assert!(fleet.silent.iter().all(|node| plan.near.contains(node)));
 }
 
-// Guards against counts of nodes that have ended, which are lost with the relay that alone knew them.
+// Guards against losing the counts of nodes that have ended with the only relay that knew them.
 #[test]
 fn standby_follows() {
     let mut fleet = Fleet::new(120, 6);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn asked_as_relay() {
+fn requested_as_relay() {
     let fleet = Fleet::new(120, 6);
     let peers: Vec<RelayPeer<'_>> =
         fleet.nodes.iter().map(|(node, zone)| RelayPeer { node, zone, silent: false }).collect();
@@ -124,7 +124,7 @@
     }
 }
 
-// Guards against requests that count twice since two relays tell of them.
+// Guards against requests that count twice because two relays report them.
 #[test]
 fn one_source() {
     let at = Stamp::from_millis;
@@ -134,12 +134,13 @@
     assert_eq!(sources.offer(at(0), scope(), one, 20), SourceChoice::Accepted { previous: None });
     assert_eq!(sources.offer(at(100), scope(), other, 20), SourceChoice::Ignored);
     assert_eq!(sources.offer(at(200), scope(), one, 20), SourceChoice::Accepted { previous: None });
-    // The first one falls silent.
-    let taken = sources.offer(at(1_000), scope(), other, 20);
-    assert_eq!(taken, SourceChoice::Accepted { previous: Some(one) });
+    // The first relay becomes silent.
+    let choice = sources.offer(at(1_000), scope(), other, 20);
+    assert_eq!(choice, SourceChoice::Accepted { previous: Some(one) });
     assert!(sources.contains(other) && !sources.contains(one));
-    // A relay that has just started hears few nodes, and is left out until it hears as many.
+    // A relay that has just started covers few nodes, and is ignored until it covers more than the
+    // other.
     assert_eq!(sources.offer(at(1_100), scope(), one, 3), SourceChoice::Ignored);
-    let taken = sources.offer(at(1_200), scope(), one, 30);
-    assert_eq!(taken, SourceChoice::Accepted { previous: Some(other) });
+    let choice = sources.offer(at(1_200), scope(), one, 30);
+    assert_eq!(choice, SourceChoice::Accepted { previous: Some(other) });
 }
--- a/crates/coord/tests/usage_counts.rs
+++ b/crates/coord/tests/usage_counts.rs
@@ -1,4 +1,4 @@
-//! Usage of teams over nodes that tell, repeat and die.
+//! Usage of teams over nodes that report, repeat reports and die.
 
 use std::time::Duration;
 
@@ -27,10 +27,10 @@
     assert_eq!(Window::at(Duration::from_secs(15), five), Window(3));
 }
 
-// A node dies after it told its counts. They are still part of the total, and what it told twice or in
-// the wrong order counts once; a team would otherwise be billed wrongly.
+// A node dies after it has reported its counts. They remain part of the total, and duplicated or
+// reordered reports count once; otherwise a team would be billed wrongly.
 #[test]
-fn told_twice() {
+fn reported_twice() {
     let mut counts = UsageCounts::default();
     let dead = Incarnation(1);
     let (here, own) = (zone("z"), Incarnation(2));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn old_windows_go() {
+fn old_windows_are_dropped() {
     let mut counts = UsageCounts::default();
     for window in 0..100 {
         counts.count(Window(window), Incarnation(1), &zone("z"), &team("a"));
@@ -54,74 +54,78 @@
 }
 
 #[test]
-fn windows_follow() {
+fn next_window() {
     let fixed = FixedReports::default();
     assert_eq!(fixed.next(Window(9)), Some(Window(9)));
     let fixed = fixed.with(Window(9), TeamCounts::new());
     assert_eq!(fixed.next(Window(9)), None);
     assert_eq!(fixed.next(Window(11)), Some(Window(10)));
-    // After a long outage the oldest are given up.
+    // After a long outage the oldest windows are skipped.
     assert_eq!(fixed.next(Window(100)), Some(Window(94)));
 }
 
-// Nodes tell their counts through a network that loses, repeats and reorders. Whatever arrives, no node
-// may believe more than what was counted, and once all was told the total is exact.
+// Reports are lost, duplicated and reordered. At no time may the total at a node exceed the
+// requests started, and once all counts have been reported the total is exact.
 #[test]
 fn any_order() {
     for seed in 0..2_000 {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut nodes: Vec<UsageCounts> = vec![UsageCounts::default(); 3];
-        let mut told = Vec::new();
-        let mut begun = 0;
+        let mut reports = Vec::new();
+        let mut started = 0;
         for _ in 0..30 {
             let at = random.random_range(0..3);
-            let life = Incarnation(at as u64);
+            let incarnation = Incarnation(at as u64);
             if random.random_bool(0.5) {
-                nodes[at].count(Window(1), life, &zone("z"), &team("a"));
-                begun += 1;
+                nodes[at].count(Window(1), incarnation, &zone("z"), &team("a"));
+                started += 1;
                 continue;
             }
-            told.extend(
-                nodes[at].of(life, ALL).into_iter().map(|(window, counts)| (life, window, counts)),
+            reports.extend(
+                nodes[at]
+                    .of(incarnation, ALL)
+                    .into_iter()
+                    .map(|(window, counts)| (incarnation, window, counts)),
             );
-            if let Some((life, window, counts)) =
-                told.get(random.random_range(0..told.len().max(1)))
+            if let Some((incarnation, window, counts)) =
+                reports.get(random.random_range(0..reports.len().max(1)))
             {
                 let to = random.random_range(0..3);
-                nodes[to].merge(*window, UsageScope::Incarnation(*life, &zone("z")), counts);
+                nodes[to].merge(*window, UsageScope::Incarnation(*incarnation, &zone("z")), counts);
                 let own = Incarnation(to as u64);
                 let known: u64 = nodes[to].total(Window(1), own).values().sum();
-                assert!(known <= begun, "seed {seed}");
+                assert!(known <= started, "seed {seed}");
             }
         }
         let last: Vec<_> = (0..3)
             .flat_map(|at| {
-                let life = Incarnation(at as u64);
+                let incarnation = Incarnation(at as u64);
                 nodes[at]
-                    .of(life, ALL)
+                    .of(incarnation, ALL)
                     .into_iter()
-                    .map(move |(window, counts)| (life, window, counts))
+                    .map(move |(window, counts)| (incarnation, window, counts))
             })
             .collect();
-        for (life, window, counts) in &last {
-            nodes[0].merge(*window, UsageScope::Incarnation(*life, &zone("z")), counts);
+        for (incarnation, window, counts) in &last {
+            nodes[0].merge(*window, UsageScope::Incarnation(*incarnation, &zone("z")), counts);
         }
         assert_eq!(
             nodes[0].total(Window(1), Incarnation(0)).values().sum::<u64>(),
-            begun,
+            started,
             "seed {seed}"
         );
     }
 }
 
-// One node of five started while its time of day was minutes wrong. It must count like the others, and
-// the others must not follow it.
+// One node of five started with a wall clock that was wrong by minutes. It has to correct its clock
+// to the others', and they must not follow it.
 #[test]
-fn wrong_time_of_day() {
+fn wrong_wall_clock() {
     assert_eq!(clock_correction([-240_000, -240_003, -239_998, -240_001]), -240_000);
     assert_eq!(clock_correction([240_000, 2, -3, 1]), 1);
     assert_eq!(clock_correction([]), 0);
-    // Of two nodes nobody knows which is right; both take the earlier, and end no window too soon.
+    // With two nodes it is unknown which is right; both use the earlier clock, so that no window
+    // ends too soon.
     assert_eq!(clock_correction([5_000]), 0);
     assert_eq!(clock_correction([-5_000]), -5_000);
 }
