--- a/crates/coord/src/chain.rs
+++ b/crates/coord/src/chain.rs
@@ -48,7 +48,7 @@
     Written,
     /// The key had another version; it has this version and value now.
     Conflict(u64, Bytes),
-    /// The call failed; whether it took effect is given.
+    /// The call failed; the value tells whether it took effect.
     Failed(Ran),
 }
 
--- a/crates/coord/src/claims/machine.rs
+++ b/crates/coord/src/claims/machine.rs
@@ -29,7 +29,7 @@
 /// A `ClaimRefusal` is the reason why the home of a key could not be determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimRefusal {
-    /// The key-value service did not answer in time.
+    /// The key-value service did not reply in time.
     Outage,
     /// The record holds its maximum of claims, none of which has expired.
     Full,
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -60,7 +60,7 @@
     Taken(Fence, Holder),
     /// The lease was renewed, or the key removed.
     Done,
-    /// The call failed; whether it took effect is given.
+    /// The call failed; the value tells whether it took effect.
     Failed(Ran),
 }
 
--- a/crates/coord/src/ledger.rs
+++ b/crates/coord/src/ledger.rs
@@ -15,8 +15,8 @@
     pub retention: Duration,
     /// The upper bound of the claims that are kept.
     pub max_claims: usize,
-    /// The upper bound of the bytes of stored answers; above it only the outcome of the oldest is
-    /// kept.
+    /// The upper bound of the bytes of stored responses; above it only the outcomes of the oldest
+    /// calls are kept.
     pub max_bytes: usize,
 }
 
@@ -37,7 +37,7 @@
     Run,
     /// The call is running.
     Running,
-    /// The call has ended; its answer is given if it is still stored.
+    /// The call has ended; its response is given if it is still stored.
     Settled(Ran, Option<Bytes>),
     /// The key was used for a call with another body.
     OtherBody,
@@ -52,7 +52,7 @@
     claims: HashMap<(TeamName, Bytes), Entry>,
     /// The keys whose calls have ended, in the order in which they ended.
     settled_keys: VecDeque<(TeamName, Bytes)>,
-    /// The bytes of all stored answers.
+    /// The bytes of all stored responses.
     bytes: usize,
 }
 
@@ -91,7 +91,7 @@
         team: &TeamName,
         key: &Bytes,
         ran: Ran,
-        answer: Option<Bytes>,
+        response: Option<Bytes>,
     ) {
         let name = (team.clone(), key.clone());
         if ran == Ran::No {
@@ -102,11 +102,11 @@
         if entry.settled.is_some() {
             return;
         }
-        let bytes = answer.as_ref().map_or(0, Bytes::len);
-        entry.settled = Some((now, ran, answer));
+        let bytes = response.as_ref().map_or(0, Bytes::len);
+        entry.settled = Some((now, ran, response));
         self.bytes += bytes;
         self.settled_keys.push_back(name);
-        self.evict_answers();
+        self.evict_responses();
     }
 
     /// Returns what is known about a key without claiming it; none if it is new.
@@ -117,16 +117,16 @@
         }
         Some(match &entry.settled {
             None => Claim::Running,
-            Some((_, ran, answer)) => Claim::Settled(*ran, answer.clone()),
+            Some((_, ran, response)) => Claim::Settled(*ran, response.clone()),
         })
     }
 
-    fn evict_answers(&mut self) {
+    fn evict_responses(&mut self) {
         while self.options.max_bytes < self.bytes {
             let Some(oldest) = self.settled_keys.pop_front() else { return };
             let entry = self.claims.get_mut(&oldest);
-            let Some((_, _, answer)) = entry.and_then(|it| it.settled.as_mut()) else { continue };
-            self.bytes -= answer.take().map_or(0, |answer| answer.len());
+            let Some((_, _, response)) = entry.and_then(|it| it.settled.as_mut()) else { continue };
+            self.bytes -= response.take().map_or(0, |response| response.len());
         }
     }
 
@@ -138,7 +138,7 @@
         });
         let claims = &self.claims;
         self.settled_keys.retain(|name| claims.contains_key(name));
-        let answers = claims.values().filter_map(|entry| entry.settled.as_ref()?.2.as_ref());
-        self.bytes = answers.map(Bytes::len).sum();
+        let responses = claims.values().filter_map(|entry| entry.settled.as_ref()?.2.as_ref());
+        self.bytes = responses.map(Bytes::len).sum();
     }
 }
--- a/crates/coord/tests/leaving_holder.rs
+++ b/crates/coord/tests/leaving_holder.rs
@@ -158,7 +158,7 @@
     assert_eq!(cluster.started.len(), 1, "started at {:?}", cluster.started);
 }
 
-// The holder dies, and before the membership shows that the owner's VM is reclaimed. The owner
+// The holder dies, and the owner's VM is reclaimed before the membership shows that. The owner
 // offers the request to the dead holder first, and has to offer it to the third node within the
 // notice.
 #[test]
