--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use bulrushhall_core::{Fence, Incarnation, Ran, Stamp};
+use bulrushhall_core::{FencingNumber, Incarnation, Ran, Stamp};
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -55,9 +55,9 @@
     /// The lease was opened.
     Granted(u64),
     /// The duty's key was written and has this version.
-    Claimed(Fence),
+    Claimed(FencingNumber),
     /// The duty's key is held, with this version and by this holder.
-    Taken(Fence, Holder),
+    Taken(FencingNumber, Holder),
     /// The lease was renewed, or the key removed.
     Done,
     /// The call failed; the value tells whether it took effect.
--- a/crates/coord/tests/duty_lease.rs
+++ b/crates/coord/tests/duty_lease.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use bulrushhall_coord::{Hold, Holder, Lease, LeaseCall, LeaseOptions, LeaseReply, Wanted, lease};
-use bulrushhall_core::{Fence, Incarnation, Ran, Stamp};
+use bulrushhall_core::{FencingNumber, Incarnation, Ran, Stamp};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -60,7 +60,7 @@
                 }
                 None if self.leases.contains_key(&lease) => {
                     self.key = Some((self.version, own, lease));
-                    LeaseReply::Claimed(Fence(self.version))
+                    LeaseReply::Claimed(FencingNumber(self.version))
                 }
                 None => LeaseReply::Failed(Ran::No),
             },
--- a/crates/daemon/src/backends.rs
+++ b/crates/daemon/src/backends.rs
@@ -143,7 +143,7 @@
                 key,
                 identity: xxh3_64(backend.vm.as_str().as_bytes()),
                 open: !self.is_closed(&backend.vm),
-                distance: if near { Duration::ZERO } else { OTHER_ZONE_DISTANCE },
+                network_latency: if near { Duration::ZERO } else { OTHER_ZONE_DISTANCE },
                 slots,
                 ..WorkerView::default()
             });
@@ -177,7 +177,8 @@
             )))
         }
         ServiceType::Plain => {
-            let options = EndpointOptions { vm, answer: timeout, ..EndpointOptions::default() };
+            let options =
+                EndpointOptions { vm, response_timeout: timeout, ..EndpointOptions::default() };
             let endpoint = Endpoint::new(address.address, options);
             BackendClient::Plain(Arc::new(HttpService::new(endpoint, timeout)))
         }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -8,9 +8,9 @@
 use tokio::{sync::watch, task::JoinHandle, time::sleep};
 
 use crate::{
+    cluster::{PeerPort, exchange, follow_backends, follow_config, follow_members, register},
     duties::{Holder, carry_out, keep},
     gateway::{Gateway, Phase, Platform},
-    knowledge::{PeerPort, exchange, follow_backends, follow_config, follow_members, register},
     ports::{CallerPort, DirectoryPort, ReadinessPort},
     settings::Settings,
 };
@@ -119,7 +119,10 @@
     let listener: io::Result<_> = listen(address);
     let listener = listener.change_context(NodeError::Port(address))?;
     let grace = gateway.settings.bounds.grace.into();
-    let options =
-        ServerOptions { drain: grace, connections: CONNECTIONS, ..ServerOptions::default() };
+    let options = ServerOptions {
+        drain_timeout: grace,
+        max_connections: CONNECTIONS,
+        ..ServerOptions::default()
+    };
     Ok(tokio::spawn(serve(listener, handler, options, stop)))
 }
