--- a/crates/coord/src/attempts.rs
+++ b/crates/coord/src/attempts.rs
@@ -20,13 +20,13 @@
     /// Records how an attempt ended.
     pub fn end(&mut self, ran: Ran) {
         self.is_open = false;
-        self.ended = self.ended.and(ran);
+        self.ended = self.ended.combine(ran);
     }
 
     /// Returns whether the call ran, over all attempts.
     pub fn ran(&self) -> Ran {
         match self.is_open {
-            true => self.ended.and(Ran::Unknown),
+            true => self.ended.combine(Ran::Unknown),
             false => self.ended,
         }
     }
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -33,7 +33,7 @@
     /// Renews the lease.
     Renew(u64),
     /// Removes the duty's key if it has this version.
-    Release(Fence),
+    Release(FencingNumber),
 }
 
 /// A `Holder` is the value of the key of a held duty.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
     /// The fencing number that every order carries.
-    pub fence: Fence,
+    pub fence: FencingNumber,
     /// The time from which orders may contradict those of an earlier holder.
     pub from: Stamp,
     /// The time at which the hold ends if it is not renewed.
@@ -227,7 +227,7 @@
         }
     }
 
-    fn acquire(&mut self, now: Stamp, lease: u64, granted: Stamp, fence: Fence) {
+    fn acquire(&mut self, now: Stamp, lease: u64, granted: Stamp, fence: FencingNumber) {
         let until = self.valid_until(granted);
         // The key was absent, so the earlier holder's lease has expired, and by its own clock its
         // hold has ended. Orders that it sent before are no longer in flight once their timeout has
--- a/crates/coord/tests/duty_lease.rs
+++ b/crates/coord/tests/duty_lease.rs
@@ -56,7 +56,7 @@
             },
             LeaseCall::Claim(lease) => match self.key {
                 Some((version, incarnation, lease)) => {
-                    LeaseReply::Taken(Fence(version), Holder { incarnation, lease })
+                    LeaseReply::Taken(FencingNumber(version), Holder { incarnation, lease })
                 }
                 None if self.leases.contains_key(&lease) => {
                     self.key = Some((self.version, own, lease));
@@ -84,9 +84,9 @@
 
 /// Checks that no two nodes hold the duty at once, and that no fencing number is used by two nodes.
 fn check_single_holder(samples: &[Sample]) -> Result<(), String> {
-    let mut owner: BTreeMap<Fence, usize> = BTreeMap::new();
+    let mut owner: BTreeMap<FencingNumber, usize> = BTreeMap::new();
     let mut at: BTreeMap<Stamp, usize> = BTreeMap::new();
-    let mut newest = Fence(0);
+    let mut newest = FencingNumber(0);
     for sample in samples {
         if *owner.entry(sample.hold.fence).or_insert(sample.node) != sample.node {
             return Err(format!("{:?} is used by two nodes", sample.hold.fence));
@@ -168,10 +168,10 @@
 
 #[test]
 fn check_detects_two_holders() {
-    let hold = Hold { fence: Fence(1), from: Stamp(0), until: Stamp(9) };
+    let hold = Hold { fence: FencingNumber(1), from: Stamp(0), until: Stamp(9) };
     let sample = Sample { at: Stamp(1), node: 0, hold };
     assert!(check_single_holder(&[sample, Sample { node: 1, ..sample }]).is_err());
-    let later = Sample { at: Stamp(2), node: 1, hold: Hold { fence: Fence(2), ..hold } };
+    let later = Sample { at: Stamp(2), node: 1, hold: Hold { fence: FencingNumber(2), ..hold } };
     assert!(check_single_holder(&[sample, later]).is_ok());
     assert!(check_single_holder(&[sample, later, Sample { at: Stamp(3), ..sample }]).is_err());
     let concurrent = Sample { at: Stamp(1), ..later };
@@ -181,12 +181,12 @@
 /// An `Engine` accepts orders; with fencing it refuses those with an outdated fencing number.
 struct Engine {
     has_fencing: bool,
-    newest: Fence,
+    newest: FencingNumber,
     model: &'static str,
 }
 
 impl Engine {
-    fn order(&mut self, fence: Fence, model: &'static str) {
+    fn order(&mut self, fence: FencingNumber, model: &'static str) {
         if self.has_fencing && fence < self.newest {
             return;
         }
@@ -205,7 +205,7 @@
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut service = Service::default();
     let options = LeaseOptions::default();
-    let mut engine = Engine { has_fencing, newest: Fence(0), model: "none" };
+    let mut engine = Engine { has_fencing, newest: FencingNumber(0), model: "none" };
     let mut old = Lease::new(Stamp(0), Incarnation(1), options);
     let mut new = Lease::new(Stamp(0), Incarnation(2), options);
     let mut now = Stamp(0);
