--- a/crates/coord/src/chain.rs
+++ b/crates/coord/src/chain.rs
@@ -120,7 +120,7 @@
 }
 
 impl ChainWriter {
-    /// Returns a writer of `text` on top of `expected`, or of whatever is newest.
+    /// Returns a writer that adds `text` after the revision `expected`, or after the newest one.
     pub fn new(expected: Option<Revision>, text: impl Into<String>, nonce: u64) -> ChainWriter {
         let text = text.into();
         let state = State::Reading;
--- a/crates/coord/src/gossip.rs
+++ b/crates/coord/src/gossip.rs
@@ -129,8 +129,8 @@
 }
 
 impl From<Heartbeat> for (Incarnation, u64, u64) {
-    fn from(beat: Heartbeat) -> Self {
-        (beat.incarnation, beat.sequence, beat.beat)
+    fn from(heartbeat: Heartbeat) -> Self {
+        (heartbeat.incarnation, heartbeat.sequence, heartbeat.beat)
     }
 }
 
--- a/crates/coord/src/membership.rs
+++ b/crates/coord/src/membership.rs
@@ -161,7 +161,7 @@
         random: &mut dyn Rng,
     ) -> Vec<Outgoing<V>> {
         self.roster.now = self.roster.now.max(now);
-        let mut answer = Gossip::default();
+        let mut reply = Gossip::default();
         let mut urgent = Vec::new();
         // The reply to a joining node holds all records. The other nodes know them already:
         // gossiping them again would fill many rounds and delay updates.
@@ -176,28 +176,28 @@
             } else if record.condition != Condition::Dead {
                 // A node that still considers an incarnation alive that was removed here receives
                 // the tombstone, so that it reaches the author, which can then refute it.
-                answer.records.extend(self.roster.tombstone(record.incarnation).cloned());
+                reply.records.extend(self.roster.tombstone(record.incarnation).cloned());
             }
         }
-        for beat in gossip.beats {
-            self.apply_heartbeat(beat, &mut answer);
+        for heartbeat in gossip.beats {
+            self.apply_heartbeat(heartbeat, &mut reply);
         }
         for incarnation in gossip.want {
-            answer.records.extend(self.record(incarnation).cloned());
+            reply.records.extend(self.record(incarnation).cloned());
         }
         for summary in gossip.zones {
-            self.apply_summary(from, summary, &mut answer);
+            self.apply_summary(from, summary, &mut reply);
         }
         for zone in gossip.lists {
-            answer.beats.extend(self.roster.versions_of(&zone));
+            reply.beats.extend(self.roster.versions_of(&zone));
         }
         if gossip.joins {
-            answer.records.extend(self.members().map(|view| view.record.clone()));
-            answer.records.push(self.own().clone());
+            reply.records.extend(self.members().map(|view| view.record.clone()));
+            reply.records.push(self.own().clone());
         }
         let mut sends = self.send_urgent(urgent, random);
-        if !answer.is_empty() {
-            sends.push(Outgoing { to: from, gossip: answer });
+        if !reply.is_empty() {
+            sends.push(Outgoing { to: from, gossip: reply });
         }
         sends
     }
@@ -242,36 +242,38 @@
         self.update_own(|record| record.sequence = record.sequence.max(sequence));
     }
 
-    fn apply_heartbeat(&mut self, beat: Heartbeat, answer: &mut Gossip<V>) {
-        if beat.incarnation == self.roster.own {
-            if beat.sequence < self.own().sequence {
-                answer.records.push(self.own().clone());
+    fn apply_heartbeat(&mut self, heartbeat: Heartbeat, reply: &mut Gossip<V>) {
+        if heartbeat.incarnation == self.roster.own {
+            if heartbeat.sequence < self.own().sequence {
+                reply.records.push(self.own().clone());
             }
             return;
         }
-        match self.roster.apply_heartbeat(beat) {
+        match self.roster.apply_heartbeat(heartbeat) {
             SenderVersion::Same => {}
-            SenderVersion::Ahead => answer.want.push(beat.incarnation),
-            SenderVersion::Behind => answer.records.extend(self.record(beat.incarnation).cloned()),
+            SenderVersion::Ahead => reply.want.push(heartbeat.incarnation),
+            SenderVersion::Behind => {
+                reply.records.extend(self.record(heartbeat.incarnation).cloned())
+            }
         }
     }
 
-    fn apply_summary(&mut self, from: Incarnation, summary: ZoneSummary, answer: &mut Gossip<V>) {
+    fn apply_summary(&mut self, from: Incarnation, summary: ZoneSummary, reply: &mut Gossip<V>) {
         self.roster.apply_summary(from, &summary);
-        let summary_mismatches = self.summary_mismatches.entry(summary.zone.clone()).or_default();
+        let mismatches = self.summary_mismatches.entry(summary.zone.clone()).or_default();
         if summary.hash == self.roster.hash_of(&summary.zone) {
-            *summary_mismatches = 0;
+            *mismatches = 0;
             return;
         }
         // Updates in flight make summaries differ for a moment. Versions are listed only if the
         // difference lasts, after a lost message or a healed partition.
-        *summary_mismatches += 1;
-        if *summary_mismatches < MAX_SUMMARY_MISMATCHES {
+        *mismatches += 1;
+        if *mismatches < MAX_SUMMARY_MISMATCHES {
             return;
         }
-        *summary_mismatches = 0;
-        answer.beats.extend(self.roster.versions_of(&summary.zone));
-        answer.lists.push(summary.zone);
+        *mismatches = 0;
+        reply.beats.extend(self.roster.versions_of(&summary.zone));
+        reply.lists.push(summary.zone);
     }
 
     fn run_round(&mut self, random: &mut dyn Rng) -> Vec<Outgoing<V>> {
--- a/crates/coord/src/roster.rs
+++ b/crates/coord/src/roster.rs
@@ -183,7 +183,7 @@
         self.invalidate_hash(incarnation);
     }
 
-    /// Invalidates the hash of a zone since the record of an incarnation of it has changed.
+    /// Invalidates the hash of the zone of an incarnation whose record has changed.
     pub(crate) fn invalidate_hash(&mut self, incarnation: Incarnation) {
         let Some(known) = self.known.get(&incarnation) else { return };
         if let Some(zone) = self.zones.get_mut(&known.record.zone) {
@@ -226,19 +226,19 @@
     }
 
     /// Applies the heartbeat of another incarnation; returns how the sender's record compares.
-    pub(crate) fn apply_heartbeat(&mut self, beat: Heartbeat) -> SenderVersion {
+    pub(crate) fn apply_heartbeat(&mut self, heartbeat: Heartbeat) -> SenderVersion {
         let now = self.now;
-        let Some(known) = self.known.get_mut(&beat.incarnation) else {
+        let Some(known) = self.known.get_mut(&heartbeat.incarnation) else {
             return SenderVersion::Ahead;
         };
-        if known.beat < beat.beat {
-            known.beat = beat.beat;
+        if known.beat < heartbeat.beat {
+            known.beat = heartbeat.beat;
             known.last_received = now;
         }
-        if known.record.sequence < beat.sequence {
+        if known.record.sequence < heartbeat.sequence {
             return SenderVersion::Ahead;
         }
-        let is_behind = beat.sequence < known.record.sequence || known.removed_at.is_some();
+        let is_behind = heartbeat.sequence < known.record.sequence || known.removed_at.is_some();
         if is_behind { SenderVersion::Behind } else { SenderVersion::Same }
     }
 
