--- a/crates/gateway/src/adapter/call.rs
+++ b/crates/gateway/src/adapter/call.rs
@@ -1,29 +1,30 @@
-//! What a caller asks for, whatever the form it was sent in.
+//! The platform-independent view of a caller's request.
 
 use std::time::Duration;
 
 use bulrushhall_policy::parts::PromptPart;
 
-/// A `Prompt` is what a caller tells of a prompt that engines read.
+/// A `Prompt` is what a caller's request announces about its prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its tokens.
+    /// The number of its tokens.
     pub tokens: u32,
-    /// The most tokens of the answer.
+    /// The maximum number of tokens of the answer.
     pub max_answer_tokens: u32,
-    /// The caller's estimate of the tokens of the answer.
+    /// The caller's estimate of the number of tokens of the answer.
     pub answer_tokens_hint: Option<u32>,
-    /// The parts that other prompts may begin with too, in order.
+    /// The parts of its prefix that other prompts may share, in order.
     pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
-    /// Returns the expected tokens of the answer: the hint, or half of what it may have.
+    /// Returns the expected number of tokens of the answer: the hint, or half of the maximum.
     pub fn answer(&self) -> u32 {
         self.answer_tokens_hint.unwrap_or(self.max_answer_tokens / 2).min(self.max_answer_tokens)
     }
 
-    /// Returns the parts that prompts of others may have: the last of several is this request's own.
+    /// Returns the parts that other prompts may share: the last of several parts belongs to this request
+    /// alone.
     pub fn shared_parts(&self) -> &[PromptPart] {
         match self.parts.as_slice() {
             [shared @ .., _] if !shared.is_empty() => shared,
@@ -32,19 +33,19 @@
     }
 }
 
-/// A `Call` is what a caller asks for.
+/// A `Call` is a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// The id of this attempt of the caller.
     pub id: String,
-    /// The host that it is meant for, without the port.
+    /// The requested host, without the port.
     pub host: String,
     /// The caller's key.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// The time for which the caller waits.
     pub deadline: Option<Duration>,
-    /// The prompt, where engines are asked.
+    /// The prompt, if the request is for an engine.
     pub prompt: Option<Prompt>,
-    /// The number of the last event that the caller has of an earlier answer.
+    /// The id of the last event that the caller received from an earlier response.
     pub resume_after: Option<u64>,
 }
--- a/crates/gateway/src/adapter/mod.rs
+++ b/crates/gateway/src/adapter/mod.rs
@@ -1,4 +1,4 @@
-//! What differs from platform to platform, as trait objects.
+//! The traits that the adapter of a platform implements, and their types.
 
 mod call;
 mod orders;
--- a/crates/gateway/src/adapter/orders.rs
+++ b/crates/gateway/src/adapter/orders.rs
@@ -1,11 +1,11 @@
-//! Orders to the cloud that one node at a time may give.
+//! The cloud API for the duties, which only one node at a time may call.
 
 use bulrushhall_coord::{TeamCounts, Window};
 use bulrushhall_core::{Fence, NodeName, ServiceName};
 use bulrushhall_external::Call;
 use bulrushhall_policy::fleet_counts::CountOrder;
 
-/// An `Authority` is the right under which an order is given.
+/// An `Authority` identifies the holder on whose behalf an order is given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Authority {
     /// The holder.
@@ -14,9 +14,9 @@
     pub fence: Fence,
 }
 
-/// `Orders` are the calls to the cloud that one node at a time may make.
+/// `Orders` are the calls of the cloud API that only the holder of the duties may make.
 pub trait Orders: Send + Sync {
-    /// Orders a number of backend servers of a service.
+    /// Orders the desired number of backend servers of a service.
     fn order<'a>(
         &'a self,
         authority: &'a Authority,
@@ -24,7 +24,7 @@
         order: &'a CountOrder,
     ) -> Call<'a, ()>;
 
-    /// Reports how many requests each team began in a window.
+    /// Reports the number of requests that each team started in a window.
     fn report<'a>(
         &'a self,
         authority: &'a Authority,
--- a/crates/gateway/src/adapter/records.rs
+++ b/crates/gateway/src/adapter/records.rs
@@ -1,4 +1,4 @@
-//! What lies in the platform's key-value service in the platform's own form.
+//! The platform's format of records in its key-value service.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,44 +8,44 @@
 
 use crate::table::RouteTable;
 
-/// A `BackendState` tells whether a backend server takes new work.
+/// A `BackendState` is the state that a backend server reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendState {
-    /// It does.
+    /// It accepts new work.
     Ready,
-    /// It is leaving, after this time where it is known, and finishes what it has.
+    /// It drains and will stop, after this time if that is known.
     Leaving(Option<Duration>),
 }
 
-/// A `BackendRecord` is what a backend server says of itself.
+/// A `BackendRecord` is a backend server's registration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendRecord {
     /// Its service.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// The requests that it serves at once.
+    /// The number of requests that it serves concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Its state.
     pub state: BackendState,
-    /// Whether its VM can be taken back.
+    /// Whether the cloud may reclaim its VM.
     pub reclaimable: bool,
-    /// The start of its life; one that starts again under its name has another.
+    /// Its start time, which distinguishes its incarnations under one name.
     pub born: Option<u64>,
 }
 
-/// A `RecordError` tells why something in the key-value service can't be used.
+/// A `RecordError` is the reason why a value of the key-value service can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// The bytes are not of the form that they should have.
+    /// The value can't be parsed.
     Malformed(String),
-    /// A name is empty, too long or holds a byte that names may not hold.
+    /// A name is empty, too long or contains an invalid byte.
     Name(String),
 }
 
-/// `Records` read what others write into the key-value service; they decide nothing.
+/// `Records` parse the platform's values in the key-value service; they make no decisions.
 pub trait Records: Send + Sync {
     /// Returns the key of the configuration.
     fn config_key(&self) -> &'static str;
@@ -53,9 +53,9 @@
     /// Returns the prefix of the keys of backend servers; the rest of a key is the server's name.
     fn backend_prefix(&self) -> &'static str;
 
-    /// Reads the configuration.
+    /// Parses the configuration.
     fn read_config(&self, value: &Bytes) -> Result<RouteTable, RecordError>;
 
-    /// Reads the record of a backend server.
+    /// Parses the record of a backend server.
     fn read_backend(&self, value: &Bytes) -> Result<BackendRecord, RecordError>;
 }
--- a/crates/gateway/src/adapter/wire.rs
+++ b/crates/gateway/src/adapter/wire.rs
@@ -1,4 +1,4 @@
-//! The form of requests and answers towards callers and backend servers.
+//! The platform's format of requests and responses.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,84 +10,83 @@
 
 use crate::adapter::Call;
 
-/// A `CallProblem` tells why a caller's request could not be understood.
+/// A `CallProblem` is the reason why a caller's request is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallProblem {
-    /// It carries no id, or one that is malformed.
+    /// The id is missing or malformed.
     Id,
-    /// It names no host.
+    /// The host is missing or malformed.
     Host,
-    /// A header that the system reads is malformed.
+    /// A header that the adapter parses is malformed.
     Header(&'static str),
 }
 
-/// A `SendHead` is what a backend server is told beside what the caller sent.
+/// A `SendHead` is the information that a node adds to a caller's request for a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct SendHead<'a> {
-    /// The backend server that is meant; another at its address must refuse.
+    /// The name of the addressed backend server; another one at its address must refuse the request.
     pub backend: &'a str,
-    /// The time that is left.
+    /// The time until the deadline.
     pub left: Option<Duration>,
-    /// The team that the caller belongs to.
+    /// The team of the caller.
     pub team: Option<&'a TeamName>,
-    /// The rank among the requests at an engine, 0 being the first.
+    /// The priority at an engine, 0 being the most urgent.
     pub rank: Option<u8>,
-    /// The number of the last event that the caller has.
+    /// The id of the last event that the caller received.
     pub resume_after: Option<u64>,
-    /// The engine from whose memory the receiver copies what it lacks of the prompt.
+    /// The engine from whose prefix cache the receiver copies the parts of the prompt that it lacks.
     pub copy_from: Option<SocketAddr>,
 }
 
-/// An `ResponseHead` is what the head of a backend server's answer says.
+/// A `ResponseHead` is the platform-independent view of the head of a backend server's response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
     /// The status.
     pub status: StatusCode,
-    /// The id of the attempt that it answers, where it tells one.
+    /// The id of the attempt that it responds to, if it has one.
     pub id: Option<String>,
-    /// Whether the backend server vouches for the answer.
+    /// Whether it carries the backend server's seal, which proves that it comes from a backend server.
     pub sealed: bool,
-    /// Whether the backend server says that the request was not run.
+    /// Whether the backend server reports that it did not run the request.
     pub not_run: bool,
-    /// Whether another backend server than the one that was meant has the address.
+    /// Whether another backend server than the addressed one has the address.
     pub other_backend: bool,
-    /// Whether the connection is closed after it.
+    /// Whether the connection is closed after the response.
     pub closing: bool,
-    /// How long the connection may be idle, where the backend server tells it.
+    /// The idle timeout of the connection, if the backend server announces it.
     pub idle: Option<Duration>,
 }
 
-/// A `Refusal` is an answer of the system's own.
+/// A `Refusal` is a response of a node's own to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The status.
     pub status: StatusCode,
-    /// When the caller may come back.
+    /// The time after which the caller may retry.
     pub after: Option<Duration>,
 }
 
-/// A `Wire` reads and writes the heads of requests and answers; it decides nothing.
+/// A `Wire` parses and writes the heads of requests and responses; it makes no decisions.
 pub trait Wire: Send + Sync {
-    /// Reads the head of a caller's request.
+    /// Parses the head of a caller's request.
     fn read_call(&self, head: &request::Parts) -> Result<Call, CallProblem>;
 
-    /// Returns the headers of the request as it is sent to a backend server: those of the caller
-    /// that pass on, without any that only the system may set, and those of `send`.
+    /// Returns the headers of a request to a backend server: the caller's end-to-end headers, except
+    /// those that only the system may set, and the headers for `send`.
     fn send_headers(&self, caller: &HeaderMap, send: SendHead<'_>) -> HeaderMap;
 
-    /// Reads the head of a backend server's answer.
+    /// Parses the head of a backend server's response.
     fn read_response(&self, head: &response::Parts) -> ResponseHead;
 
-    /// Returns the headers of the answer as they pass on to the caller.
+    /// Returns the headers of a response to the caller, from those of the backend server's response.
     fn response_headers(&self, answer: &HeaderMap) -> HeaderMap;
 
-    /// Returns the answer that refuses a request or tells of its failure.
+    /// Returns the response that refuses a request or reports its failure.
     fn refusal(&self, refusal: Refusal) -> Response<()>;
 
-    /// Returns the zone of a caller that asks which addresses to use; none where the request asks
-    /// for something else.
+    /// Returns the zone of a caller that looks up addresses; none if the request is not a lookup.
     fn read_lookup(&self, head: &request::Parts) -> Option<String>;
 
-    /// Returns the body that names the addresses to use, and for how long.
+    /// Returns the response to a lookup, with the addresses and the time for which they are valid.
     fn addresses(&self, addresses: &[SocketAddr], keep: Duration) -> Response<Vec<u8>>;
 }
--- a/crates/gateway/src/backends/backend.rs
+++ b/crates/gateway/src/backends/backend.rs
@@ -10,41 +10,41 @@
     backends::{Load, Pool},
 };
 
-/// How long another node's word on its load counts: four exchanges of 250 ms may be lost or late.
+/// How long a load that another node reported is valid: four digests at 250 ms may be lost or late.
 const TOLD_FOR: Duration = Duration::from_millis(1_000);
-/// The part by which the slowness moves with each measured first token.
+/// The weight of a sample in the moving average of the slowness.
 const SLOWNESS_STEP: f64 = 0.1;
-/// The bounds of one measurement: queues that could not be foreseen are no property of the server.
+/// The bounds of one sample: unpredicted queueing is no property of the server.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 3.0);
 
-/// A `Backend` is one life of a backend server.
+/// A `Backend` is one incarnation of a backend server.
 #[derive(Debug)]
 pub struct Backend {
-    /// Its name, as it stands in the key of its record.
+    /// Its name, as in the key of its record.
     pub name: Arc<str>,
     /// A hash of its name, the same on all nodes.
     pub identity: u64,
     /// Its record.
     pub record: BackendRecord,
-    /// The number of the change of its record.
+    /// The number of the last change of its record.
     pub changed_at: u64,
-    /// Until when its record may be missing, since the key-value service was out of reach.
+    /// Until when its record may be missing after an outage of the key-value service.
     pub missing_until: Option<Stamp>,
-    /// Whether another server answered at its address.
+    /// Whether another server responded at its address.
     pub replaced: bool,
-    /// What outcomes tell about it.
+    /// The circuit breaker, which the outcomes of calls drive.
     pub doubt: Doubt,
-    /// The parts of prompts that it is believed to keep.
+    /// The prompt parts that its prefix cache presumably holds.
     pub parts: PartMemory,
-    /// The parts of prompts that this node sent there lately.
+    /// The prompt parts that this node recently sent to it.
     pub recent: RecentParts,
-    /// The parts of prompts that others sent there lately, as they told it themselves.
+    /// The prompt parts that other nodes recently sent to it, as reported by themselves.
     pub recent_near: RecentParts,
-    /// The parts of prompts that others sent there lately, as relays passed it on.
+    /// The prompt parts that other nodes recently sent to it, as reported by relays.
     pub recent_far: RecentParts,
-    /// How many times the predicted time first tokens took lately.
+    /// The moving average of the ratio between actual and predicted time to the first token.
     pub slowness: f64,
-    /// What this node has running there.
+    /// The load of this node's requests there.
     pub own: Load,
     /// Its connections.
     pub pool: Arc<Pool>,
@@ -52,7 +52,7 @@
 }
 
 impl Backend {
-    /// Returns a backend server of which nothing but its record is known.
+    /// Returns a backend server of which only the record is known.
     pub fn new(name: &str, identity: u64, record: BackendRecord) -> Backend {
         Backend {
             name: name.into(),
@@ -73,29 +73,29 @@
         }
     }
 
-    /// Returns whether new work may be sent to it.
+    /// Returns whether it accepts new work.
     pub fn is_open(&self) -> bool {
         self.record.state == BackendState::Ready && !self.replaced
     }
 
-    /// Notes what another node has running there.
+    /// Notes the load that another node reported.
     pub fn hear(&mut self, now: Stamp, node: Incarnation, load: Load) {
-        // Each restart of a node has a life of its own; without this they would pile up.
+        // Each restart of a node has another incarnation; without this, entries would accumulate.
         self.told.retain(|_, (at, _)| now.since(*at) < TOLD_FOR);
         self.told.insert(node, (now, load));
     }
 
-    /// Drops what a node told that has nothing running there any more.
+    /// Drops the load that a node reported.
     pub fn unhear(&mut self, node: Incarnation) {
         self.told.remove(&node);
     }
 
-    /// Drops what all others told.
+    /// Drops the loads that all other nodes reported.
     pub fn unhear_all(&mut self) {
         self.told.clear();
     }
 
-    /// Returns the load of this node and of those others for whose lives `counts` is true.
+    /// Returns the load of this node and of the other nodes for whose incarnations `counts` is true.
     pub fn load(&self, now: Stamp, counts: impl Fn(Incarnation) -> bool) -> Load {
         let mut sum = self.own;
         for (life, (at, load)) in &self.told {
@@ -106,24 +106,24 @@
         sum
     }
 
-    /// Returns the requests of all nodes there.
+    /// Returns the number of requests of all nodes there.
     pub fn requests(&self, now: Stamp) -> u32 {
         self.own.requests + self.heard(now).map(|load| load.requests).sum::<u32>()
     }
 
-    /// Returns the waiting tokens of all nodes there that are at least as urgent as `rank`.
+    /// Returns the waiting tokens of all nodes there with a priority at least as urgent as `rank`.
     pub fn waiting_before(&self, now: Stamp, rank: u8) -> u64 {
         let heard: u64 = self.heard(now).map(|load| load.waiting_before(rank)).sum();
         self.own.waiting_before(rank) + heard
     }
 
-    /// Returns the tokens of all nodes in its memory.
+    /// Returns the tokens of all nodes' requests in its KV cache.
     pub fn held(&self, now: Stamp) -> u64 {
         let heard: u64 = self.heard(now).map(|load| u64::from(load.held)).sum();
         u64::from(self.own.held) + heard
     }
 
-    /// Notes how long a first token took against what was predicted.
+    /// Notes the predicted and the actual time to a first token.
     pub fn note_first_token(&mut self, predicted: Duration, took: Duration) {
         let predicted = predicted.as_secs_f64().max(0.02);
         let (least, most) = SLOWNESS_BOUNDS;
--- a/crates/gateway/src/backends/connection.rs
+++ b/crates/gateway/src/backends/connection.rs
@@ -15,37 +15,36 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, task::AbortHandle, time::timeout};
 
-/// The longest time for opening a connection: a hundred times the way between two zones. A lost
-/// opening packet is only sent again after a second, when another backend server would long have
-/// answered.
+/// The timeout for opening a connection: a hundred times the latency between two zones. TCP retransmits
+/// a lost SYN only after a second; by then another backend server would have responded.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An `OpenError` tells why no connection could be opened; nothing was sent then.
+/// An `OpenError` is the reason why no connection could be opened; nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// Nobody answered in time, or the connection was refused.
+    /// The connection was refused or timed out.
     Unreachable,
-    /// This node has as many connections there as it may have.
+    /// This node has reached its maximum number of connections to the server.
     Full,
 }
 
-/// A `Connection` is one open connection, closed at once where it is dropped.
+/// A `Connection` is one open connection, which is closed as soon as it is dropped.
 ///
-/// hyper closes a connection whose answer nobody reads only once more of it arrives. A caller that
-/// left would keep an engine at work until then; aborting the task that owns the socket closes it
-/// at the moment of the drop.
+/// If a response is not read to its end, hyper closes the connection only when more of it arrives. After
+/// a caller's disconnect, an engine would keep working until then. Aborting the task that owns the socket
+/// closes it at once.
 #[derive(Debug)]
 pub struct Connection {
-    /// What sends requests on it.
+    /// The sender of requests.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Whether an earlier request was answered on it.
+    /// Whether it has carried an earlier request.
     pub reused: bool,
     task: AbortHandle,
     open: Arc<AtomicU32>,
 }
 
 impl Connection {
-    /// Opens a connection, counted in `open`.
+    /// Opens a connection, which is counted in `open`; at most `most` may be open.
     pub async fn open(
         address: SocketAddr,
         open: Arc<AtomicU32>,
@@ -58,11 +57,11 @@
         let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = opened.map_err(|_| OpenError::Unreachable)?;
         let stream = stream.map_err(|_| OpenError::Unreachable)?;
-        // Requests are written in one piece; waiting for more to send would only delay them.
+        // Requests are written in one piece; Nagle's algorithm would only delay them.
         let _ = stream.set_nodelay(true);
         let (sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|_| OpenError::Unreachable)?;
-        // How the connection ended is told by the request that was on it.
+        // The request on the connection reports its error.
         let task = tokio::spawn(async move { drop(connection.await) }).abort_handle();
         Ok(Connection { sender, reused: false, task, open: counted.keep() })
     }
@@ -80,7 +79,7 @@
     }
 }
 
-/// Counts a connection that is being opened, also where the caller leaves meanwhile.
+/// A `Counted` counts a connection while it is being opened, even if the future is dropped meanwhile.
 struct Counted {
     open: Option<Arc<AtomicU32>>,
 }
--- a/crates/gateway/src/backends/directory.rs
+++ b/crates/gateway/src/backends/directory.rs
@@ -1,4 +1,4 @@
-//! The backend servers by name and service.
+//! The known backend servers, by name and service.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -17,11 +17,11 @@
     change_log::ChangeLog,
 };
 
-/// How long after the return of the key-value service a record may stay missing: those that lapsed
-/// are back within two seconds if their servers live.
+/// How long a record may stay missing after the key-value service recovers: live servers rewrite their
+/// expired records within two seconds.
 const MISSING_FOR: Duration = Duration::from_millis(2_200);
 
-/// The servers that went last of which is known when: more than a few minutes of the largest fleet.
+/// The maximum number of tombstones of removed servers: enough for some minutes in the largest fleet.
 const GONE_KEPT: usize = 4_096;
 
 /// `Backends` are the backend servers that a node knows.
@@ -29,12 +29,12 @@
 pub struct Backends {
     arena: SlotMap<WorkerKey, Backend>,
     names: HashMap<Arc<str>, WorkerKey>,
-    /// The changes of records since the start.
+    /// The record changes since the start.
     changes: ChangeLog<String, GONE_KEPT>,
 }
 
 impl Backends {
-    /// Takes in the record of a backend server.
+    /// Adds or updates the record of a backend server.
     pub fn upsert(&mut self, name: &str, record: BackendRecord) {
         if let Some(backend) = self.named_mut(name) {
             let same = backend.record.address == record.address
@@ -52,7 +52,7 @@
                 self.note_change(name);
                 return;
             }
-            // The same name with another life knows nothing of what the earlier one held.
+            // Another incarnation under the same name has lost the state of the earlier one.
             self.remove(name);
         }
         log_state(name, &record);
@@ -70,8 +70,7 @@
         }
     }
 
-    /// Returns the changes of records after that with the number `after`, or all records where these are
-    /// not known any more.
+    /// Returns the updates after the change `after`, or all records if the log does not reach back that far.
     pub fn news(&self, after: u64) -> RecordNews {
         let told = |backend: &Backend| (backend.name.to_string(), backend.record.clone());
         let records = |after| {
@@ -81,7 +80,7 @@
         self.changes.news(after, records, |name| self.names.contains_key(name.as_str()))
     }
 
-    /// Takes in what another node told of changes.
+    /// Applies updates from another node.
     pub fn take_news(&mut self, news: RecordNews) {
         let RecordNews { after, records, gone, .. } = news;
         if after == 0 {
@@ -100,11 +99,11 @@
     }
 
     /// Notes that the record of a backend server is missing; `returned_at` is when the key-value
-    /// service last answered again after an outage.
+    /// service last recovered from an outage.
     ///
-    /// Records lapse while the service is away, though the servers live. Taken for gone, all servers
-    /// would be lost at once. The time for them to come back counts from the service's return: a
-    /// server that leaves later is gone like any other.
+    /// Records expire during an outage although their servers are alive. If they were removed, all
+    /// servers would be lost at once. The grace period starts when the service recovers: a record that
+    /// disappears after it is removed at once.
     pub fn note_missing(&mut self, now: Stamp, name: &str, returned_at: Option<Stamp>) {
         let until = returned_at.map(|returned_at| returned_at + MISSING_FOR);
         match (until, self.named_mut(name)) {
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Removes those that were missing for too long.
+    /// Removes the servers whose grace period is over.
     pub fn expire(&mut self, now: Stamp) {
         self.remove_missing(|until| until <= now);
     }
@@ -131,13 +130,14 @@
         }
     }
 
-    /// Removes all that are missing: another node knows that the service was not away, and that only
-    /// this node's way to it was. Their records did not lapse, so the servers are gone.
+    /// Removes all servers whose records are missing: another node has proven that the service had no
+    /// outage and that only this node could not reach it. The records did not expire, so the servers
+    /// have left.
     pub fn drop_missing(&mut self) {
         self.remove_missing(|_| true);
     }
 
-    /// Keeps only those whose names are listed; others are missing.
+    /// Notes that the records of all servers whose names are not in `listed` are missing.
     pub fn retain_listed(
         &mut self,
         now: Stamp,
@@ -160,17 +160,17 @@
         tracing::info!(event = Event::BackendGone.number(), backend = name);
     }
 
-    /// Returns a backend server that is still known.
+    /// Returns a backend server.
     pub fn get(&self, key: WorkerKey) -> Option<&Backend> {
         self.arena.get(key)
     }
 
-    /// Returns a backend server that is still known, to be changed.
+    /// Returns a mutable reference to a backend server.
     pub fn get_mut(&mut self, key: WorkerKey) -> Option<&mut Backend> {
         self.arena.get_mut(key)
     }
 
-    /// Returns the backend server with a name, to be changed.
+    /// Returns a mutable reference to the backend server with a name.
     pub fn named_mut(&mut self, name: &str) -> Option<&mut Backend> {
         let key = *self.names.get(name)?;
         self.arena.get_mut(key)
@@ -181,13 +181,13 @@
         self.arena.iter()
     }
 
-    /// Returns all backend servers, to be changed.
+    /// Returns mutable references to all backend servers.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (WorkerKey, &mut Backend)> {
         self.arena.iter_mut()
     }
 
-    /// Returns those of a service whose memory can be copied from, also where they leave: what they keep
-    /// would be lost with them.
+    /// Returns the servers of a service from whose prefix caches others can copy. This includes leaving
+    /// servers, as their cached parts would be lost with them.
     pub fn keeping<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -199,7 +199,7 @@
         })
     }
 
-    /// Returns those of a service that take new work.
+    /// Returns the servers of a service that accept new work.
     pub fn open<'a>(
         &'a self,
         service: &'a ServiceName,
--- a/crates/gateway/src/backends/load.rs
+++ b/crates/gateway/src/backends/load.rs
@@ -1,23 +1,23 @@
-//! What requests of one node take up at one backend server.
+//! The load of one node's requests at one backend server.
 
 use serde::{Deserialize, Serialize};
 
-/// The ranks of urgency that backend servers tell apart.
+/// The number of priorities that backend servers distinguish.
 pub const RANKS: usize = 10;
 
-/// A `Load` is what the requests of one node take up at one backend server.
+/// A `Load` is the load of one node's requests at one backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// The requests.
+    /// The number of requests.
     pub requests: u32,
-    /// The prompt tokens without a first token yet, by rank.
+    /// The tokens to prefill of requests without a first token, by priority.
     pub waiting: [u32; RANKS],
-    /// The tokens of prompts and answers in the engine's memory.
+    /// The tokens of prompts and answers in the engine's KV cache.
     pub held: u32,
 }
 
 impl Load {
-    /// Returns both together.
+    /// Returns the sum of two loads.
     pub fn plus(self, other: Load) -> Load {
         let mut waiting = self.waiting;
         for (sum, more) in waiting.iter_mut().zip(other.waiting) {
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Returns the waiting tokens of all requests that are at least as urgent as `rank`.
+    /// Returns the waiting tokens of all requests with a priority at least as urgent as `rank`.
     pub fn waiting_before(&self, rank: u8) -> u64 {
         self.waiting.iter().take(usize::from(rank) + 1).map(|tokens| u64::from(*tokens)).sum()
     }
 
-    /// Returns whether there is nothing.
+    /// Returns whether the load is zero.
     pub fn is_empty(&self) -> bool {
         *self == Load::default()
     }
--- a/crates/gateway/src/backends/mod.rs
+++ b/crates/gateway/src/backends/mod.rs
@@ -14,5 +14,5 @@
 
 use crate::{adapter::BackendRecord, change_log::News};
 
-/// `RecordNews` are changes of the records of backend servers.
+/// `RecordNews` are updates of the records of backend servers.
 pub type RecordNews = News<String, BackendRecord>;
--- a/crates/gateway/src/backends/pool.rs
+++ b/crates/gateway/src/backends/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one backend server.
+//! The connection pool of one backend server.
 
 use std::{
     net::SocketAddr,
@@ -10,10 +10,10 @@
 
 use crate::backends::{Connection, OpenError};
 
-/// How long a connection is kept idle where the backend server does not tell how long it keeps it.
+/// The idle timeout of a connection if the backend server does not announce its own.
 const IDLE_UNTOLD: Duration = Duration::from_secs(3);
-/// How much sooner than the backend server this node gives an idle connection up. A request sent
-/// just as the server closes is lost: nobody can tell whether it ran.
+/// How much earlier than the backend server this node closes an idle connection. A request that is sent
+/// while the server closes the connection is lost, and it is unknown whether it ran.
 const IDLE_MARGIN: Duration = Duration::from_millis(800);
 
 /// A `Pool` holds the connections to one backend server.
@@ -36,7 +36,7 @@
         Pool { address, open: Arc::default(), idle: Mutex::default() }
     }
 
-    /// Returns the connection that was used last, or opens one; at most `most` are open at once.
+    /// Returns the most recently used idle connection, or opens one; at most `most` may be open.
     pub async fn take(&self, now: Stamp, most: u32) -> Result<Connection, OpenError> {
         if let Some(connection) = self.take_idle(now) {
             return Ok(connection);
@@ -44,21 +44,21 @@
         Connection::open(self.address, Arc::clone(&self.open), most).await
     }
 
-    /// Keeps a connection whose answer has ended, for as long as the backend server keeps it.
+    /// Returns a connection to the pool after its response has ended; `idle` is the server's idle timeout.
     pub fn keep(&self, now: Stamp, mut connection: Connection, idle: Option<Duration>) {
         let for_how_long = idle.map_or(IDLE_UNTOLD, |idle| idle.saturating_sub(IDLE_MARGIN));
         connection.reused = true;
         self.lock(|kept| kept.push(Idle { connection, until: now + for_how_long }));
     }
 
-    /// Closes the idle connections: what silenced one of them mostly silenced all.
+    /// Closes the idle connections: the cause that made one connection silent usually affects all.
     pub fn close_idle(&self) {
         self.lock(Vec::clear);
     }
 
     fn take_idle(&self, now: Stamp) -> Option<Connection> {
         self.lock(|kept| {
-            // Those used longest ago are given up first, so that few are kept.
+            // The most recently used one is taken, so that the others reach their idle timeout.
             kept.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
             let at = kept.iter().rposition(|idle| idle.connection.is_ready())?;
             Some(kept.remove(at).connection)
--- a/crates/gateway/src/change_log.rs
+++ b/crates/gateway/src/change_log.rs
@@ -1,25 +1,26 @@
-//! Numbered changes of a set of records, so that others can be told what they missed.
+//! A log of numbered changes of a set of records, from which other nodes get the updates that they lack.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-/// `News` are the changes between two moments of one node's knowledge.
+/// `News` are the changes of a set of records after a numbered change.
 ///
-/// Each node that follows the records in the key-value service itself costs calls there for each change.
+/// Relays send them to members, because each node that follows the records in the key-value service itself
+/// costs calls for each change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct News<K, R> {
-    /// The number of the last change before these; 0 where all records are told.
+    /// The number of the last change before the updates; 0 if they hold all records.
     pub after: u64,
-    /// The number of the last of them.
+    /// The number of the last change in the updates.
     pub at: u64,
-    /// The records that are new or have changed, by their names.
+    /// The new and the changed records, with their names.
     pub records: Vec<(K, R)>,
-    /// The names whose records are not there any more.
+    /// The names of the removed records.
     pub gone: Vec<K>,
 }
 
-/// A `ChangeLog` numbers changes, and keeps the names of the `KEPT` records that went last.
+/// A `ChangeLog` numbers changes, and keeps tombstones of the `KEPT` records that were removed last.
 #[derive(Clone, Debug)]
 pub struct ChangeLog<K, const KEPT: usize> {
     last: u64,
@@ -33,13 +34,13 @@
 }
 
 impl<K: Clone, const KEPT: usize> ChangeLog<K, KEPT> {
-    /// Numbers a change.
+    /// Returns the number of a new change.
     pub fn note(&mut self) -> u64 {
         self.last += 1;
         self.last
     }
 
-    /// Notes that a record went.
+    /// Notes the removal of a record.
     pub fn note_gone(&mut self, name: K) {
         let at = self.note();
         self.gone.push_back((at, name));
@@ -48,10 +49,10 @@
         }
     }
 
-    /// Returns the changes after that with the number `after`, or all records where these are not known
-    /// any more.
+    /// Returns the updates after the change `after`, or all records if the log does not reach back that far.
     ///
-    /// `records` returns the records that have changed after a number, and `is_there` whether a name has one.
+    /// `records` returns the records that have changed after a number, and `is_there` whether a name has a
+    /// record.
     pub fn news<R>(
         &self,
         after: u64,
--- a/crates/gateway/src/cluster/backends.rs
+++ b/crates/gateway/src/cluster/backends.rs
@@ -1,4 +1,4 @@
-//! The backend servers, as they register themselves in the key-value service.
+//! Following of the records of backend servers, which register themselves in the key-value service.
 
 use std::{
     collections::BTreeSet,
@@ -15,8 +15,8 @@
     gateway::Gateway,
 };
 
-/// The wait of a watch. On a connection that went silent, a server that leaves is noticed only when
-/// the watch should long have ended.
+/// The duration of a watch. On a connection that went silent, a server that leaves is noticed only
+/// after the watch should have ended.
 const WAIT: Duration = Duration::from_millis(2_000);
 
 struct BackendFollower {
@@ -25,7 +25,7 @@
     returned_at: Mutex<Option<Stamp>>,
 }
 
-/// Follows the records of backend servers for ever.
+/// Follows the records of backend servers forever.
 pub async fn follow_backends(gateway: Arc<Gateway>) {
     let prefix = gateway.platform.records.backend_prefix();
     let follower =
@@ -49,7 +49,7 @@
         match self.gateway.platform.records.read_backend(value) {
             Ok(record) => self.gateway.with(|state| state.backends.upsert(name, record)),
             Err(error) => {
-                // A record of another writer names no server to use.
+                // A malformed record was written by something else and names no usable server.
                 tracing::warn!(event = Event::RecordIgnored.number(), backend = name, ?error);
                 self.gateway.with(|state| state.backends.remove(name));
                 return None;
@@ -69,7 +69,7 @@
     }
 
     fn fed(&self) {
-        // What this node has says no more than what the relay says.
+        // Records that come from a relay are no independent evidence of the key-value service's state.
         self.gateway.with(|state| state.records_steady_since = None);
     }
 
--- a/crates/gateway/src/cluster/config.rs
+++ b/crates/gateway/src/cluster/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: watched in the key-value service, and told by other nodes.
+//! Following of the configuration in the key-value service, and its activation from any source.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,22 +13,22 @@
     meters,
 };
 
-/// The wait of a watch: short enough that its answers keep the age of the configuration well below
-/// the time for revocations, long enough to cost less than a call a second.
+/// The duration of a watch: short enough that its responses keep the age of the configuration well below
+/// the time bound for revocations, long enough to cost less than a call a second.
 const WAIT: Duration = Duration::from_millis(1_500);
 
 struct ConfigFollower {
     gateway: Arc<Gateway>,
 }
 
-/// Follows the configuration for ever.
+/// Follows the configuration forever.
 pub async fn follow_config(gateway: Arc<Gateway>) {
     let key = gateway.platform.records.config_key();
     let follower = ConfigFollower { gateway: Arc::clone(&gateway) };
     follow(gateway, key, WAIT, follower).await;
 }
 
-/// Puts a configuration in force unless one at least as new is; returns whether it can be read.
+/// Activates a configuration unless one at least as new is active; returns whether it can be parsed.
 pub fn take_config(gateway: &Gateway, document: &Bytes, source: &'static str) -> bool {
     let table = match gateway.platform.records.read_config(document) {
         Ok(table) => table,
@@ -37,8 +37,8 @@
             return false;
         }
     };
-    // Documents overtake each other on their ways. An older one would bring back a route or key
-    // that was taken away; callers would see it served again.
+    // Documents may arrive out of order. An older one would restore a route or key that was removed
+    // since.
     let before = gateway.revision();
     if table.revision <= before {
         return true;
--- a/crates/gateway/src/cluster/digest.rs
+++ b/crates/gateway/src/cluster/digest.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other.
+//! The messages that nodes exchange.
 
 use bulrushhall_coord::{TeamCounts, Window};
 use bulrushhall_core::{Incarnation, NodeName, Revision, ServiceName, TeamName};
@@ -12,29 +12,29 @@
     demand::Offered,
 };
 
-/// `DigestScope` says which nodes a message is about.
+/// A `DigestScope` is the set of nodes that a digest is about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum DigestScope {
     /// The node that sends it.
     #[default]
     Own,
-    /// All nodes of its availability zone, summed up.
+    /// All nodes of the sender's availability zone, aggregated.
     Zone,
-    /// All nodes but the one that gets it, summed up.
+    /// All nodes except the receiver, aggregated.
     Others,
-    /// None: it tells of the sender's state alone.
+    /// None: the digest holds only the sender's own state, without loads and counts.
     Nothing,
 }
 
-/// A `HeardLife` is a node that a relay hears.
+/// A `HeardLife` is a node from which a relay receives digests.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(into = "(Incarnation, bool, u16)")]
 pub struct HeardLife {
-    /// This life of it.
+    /// Its incarnation.
     pub life: Incarnation,
     /// Whether it serves callers.
     pub ready: bool,
-    /// How long ago it was heard, in milliseconds.
+    /// The time since its last digest, in milliseconds.
     pub age_ms: u16,
 }
 
@@ -44,9 +44,9 @@
     }
 }
 
-/// A `BackendLoad` is what nodes have running at one backend server.
+/// A `BackendLoad` is the load of nodes at one backend server.
 ///
-/// It is written without names, of which there would be one for each value and backend server.
+/// It is encoded without field names, which would otherwise be repeated for each backend server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(into = "(String, (u32, [u32; RANKS], u32), Vec<(u64, u32)>)")]
 pub struct BackendLoad {
@@ -54,7 +54,7 @@
     pub backend: String,
     /// The load.
     pub load: Load,
-    /// The parts of prompts that were sent there lately.
+    /// The prompt parts that were recently sent to it.
     pub parts: Vec<PromptPart>,
 }
 
@@ -65,67 +65,67 @@
     }
 }
 
-/// A `Digest` is what a node tells others of itself and of those that it sums up; the newest holds, so it
-/// may be lost or come twice.
+/// A `Digest` is the state that a node reports of itself and of the nodes that it aggregates. Each digest
+/// replaces the one before, so one may be lost or received twice.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Digest {
-    /// The node.
+    /// The sender.
     pub node: NodeName,
-    /// This life of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Its record, which the key-value service may lack; nodes of an earlier version do not tell it.
+    /// Its record, which the key-value service may lack; nodes of an earlier version do not send it.
     #[serde(default)]
     pub record: Option<MemberRecord>,
-    /// The nodes that it hears and whose records the key-value service lacks.
+    /// The nodes from which it receives digests and whose records the key-value service lacks.
     #[serde(default)]
     pub unlisted: Vec<(NodeName, MemberRecord)>,
-    /// Its time of day as it was at its start, in milliseconds since 1970, gone on by a steady clock.
+    /// Its wall clock at its start, advanced by a monotonic clock, in milliseconds since 1970.
     #[serde(rename = "day_ms")]
     pub wall_clock_ms: u64,
     /// Whether it serves callers.
     pub ready: bool,
-    /// The revision that it has in force.
+    /// The revision of its active configuration.
     pub revision: Revision,
-    /// How long ago that was known to be the newest, in milliseconds.
+    /// The time since that was known to be the newest, in milliseconds.
     pub config_age_ms: Option<u64>,
-    /// For how long it has followed the records of backend servers without a failure, in
+    /// The time for which it has followed the records of backend servers without a failure, in
     /// milliseconds.
     pub records_steady_ms: Option<u64>,
-    /// Which nodes the following values are about; nodes of an earlier version tell of themselves.
+    /// The nodes that the following values are about; nodes of an earlier version report only themselves.
     #[serde(default, rename = "told")]
     pub scope: DigestScope,
-    /// Which nodes the answer shall be about.
+    /// The nodes that the reply is to be about.
     #[serde(default, rename = "wants")]
     pub reply_scope: DigestScope,
     /// The number of nodes that the following values are about.
     #[serde(default = "one")]
     pub nodes: u32,
-    /// The nodes that the sender hears, where it sums up.
+    /// The nodes from which the sender receives digests, in an aggregated digest.
     #[serde(default)]
     pub heard: Vec<HeardLife>,
-    /// What each team took there since its start.
+    /// The quota that each team has used since the start of the nodes.
     pub quotas: Vec<(TeamName, f64)>,
-    /// What each team asks for there in a second; nodes of an earlier version do not tell it.
+    /// The quota that each team requests per second; nodes of an earlier version do not send it.
     #[serde(default)]
     pub asked: Vec<(TeamName, f64)>,
-    /// What it has running.
+    /// The loads of backend servers.
     pub loads: Vec<BackendLoad>,
-    /// The requests begun there in each window.
+    /// The requests started in each usage window.
     pub usage: Vec<(Window, TeamCounts)>,
-    /// The work that it sends to the engines of each service.
+    /// The load offered to the engines of each service.
     pub offered: Vec<(ServiceName, Offered)>,
-    /// What it has learnt of the engines of each service.
+    /// The sender's latency models of the engines of each service.
     pub paces: Vec<(ServiceName, EnginePace)>,
-    /// Where the sender, as a member, stands with the records of backend servers and nodes.
+    /// The position of the sender, a member, in the records that a relay supplies.
     #[serde(default)]
     pub records_known: Option<RecordsKnown>,
-    /// The changes of these records, from a relay to a member.
+    /// The updates of these records, from a relay to a member.
     #[serde(default)]
     pub records: Option<(RecordNews, MemberNews)>,
 }
 
 impl Digest {
-    /// Returns a message that tells no more than who sends it.
+    /// Returns a digest that holds nothing but its sender.
     pub fn new(node: NodeName, incarnation: Incarnation) -> Digest {
         Digest {
             node,
@@ -153,21 +153,21 @@
     }
 }
 
-/// `RecordsKnown` tell up to which changes a node has the records of backend servers and nodes.
+/// A `RecordsKnown` is the position up to which a node has the record changes of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordsKnown {
-    /// The life that told them.
+    /// The incarnation of the relay.
     pub by: Incarnation,
-    /// The number of the change of backend servers there.
+    /// The number of the last change of backend servers.
     pub backends: u64,
-    /// The number of the change of nodes there.
+    /// The number of the last change of nodes.
     pub members: u64,
 }
 
-/// A `Document` is a configuration as it was read, for a node that is behind.
+/// A `Document` is an encoded configuration, for a node whose configuration is older.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Document {
-    /// The bytes; empty where none is known.
+    /// The bytes; empty if none is known.
     pub bytes: Bytes,
 }
 
--- a/crates/gateway/src/cluster/exchange.rs
+++ b/crates/gateway/src/cluster/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of news between nodes.
+//! Gossip: the periodic exchange of digests between nodes.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -32,58 +32,60 @@
     meters,
 };
 
-/// The time between two exchanges with each node: a burst is seen by all nodes before an engine has
-/// read more than a few prompts.
+/// The gossip interval without relays: all nodes see a burst before an engine has prefilled more than a
+/// few prompts.
 const EACH: Duration = Duration::from_millis(250);
-/// The time between two exchanges where news take three ways, through relays.
+/// The gossip interval with relays: it is shorter because updates take three hops.
 const EACH_BY_RELAYS: Duration = Duration::from_millis(200);
-/// The rounds after which the standby of a zone is told.
+/// The rounds between two digests to the standby relay of a zone.
 const STANDBY_EACH: u64 = 2;
-/// The age of the configuration from which a node asks all others: above what two watches take.
+/// The age of the configuration from which a node contacts all others: more than two watches take.
 const BLIND_AFTER: Duration = Duration::from_millis(2_500);
-/// The same for members, which learn it from relays.
+/// The same age for members, which learn the age of their configuration through relays.
 const MEMBER_BLIND_AFTER: Duration = Duration::from_millis(3_200);
-/// How many others such a node asks where news go through relays, beside these.
+/// The number of additional nodes that such a node contacts when relays are in use.
 const BLIND_ASKS: usize = 6;
-/// For how long a node that was asked as a relay acts as one.
+/// How long a node that was contacted as a relay acts as one.
 const RELAY_FOR: Duration = Duration::from_millis(1_000);
-/// How long the node of a pair that asks may be silent before the other one asks.
+/// How long the initiating node of a pair may be silent before the other one contacts it.
 const ASKED_WITHIN: Duration = Duration::from_millis(700);
-/// The longest time for opening a connection to a node.
+/// The timeout for opening a connection to a node.
 const CONNECT: Duration = Duration::from_millis(250);
-/// The longest time until a node answers.
+/// The timeout for a response of a node.
 pub const ANSWER: Duration = Duration::from_millis(700);
-/// How a digest has to arrive: one that takes longer says nothing of this moment.
+/// The time limits of a digest: one that takes longer is outdated on arrival.
 const DIGEST: Progress = Progress { pause: ANSWER, whole: ANSWER };
-/// How a configuration has to arrive.
+/// The time limits of a configuration.
 const DOCUMENT: Progress = Progress { pause: ANSWER, whole: Duration::from_secs(10) };
-/// The largest message, in bytes: a configuration, with room to spare.
+/// The maximum size of a message, in bytes: that of a configuration, with a margin.
 pub const MESSAGE_LIMIT: usize = 4 << 20;
-/// Where digests are exchanged.
+/// The path to which digests are sent.
 pub const DIGEST_PATH: &str = "/digest";
-/// Where the configuration is read.
+/// The path from which the configuration is fetched.
 pub const DOCUMENT_PATH: &str = "/document";
 
-/// An `Ask` is one message that is due to another node.
+/// An `Ask` is one digest that is due to another node, which replies with its own.
 struct Ask {
     node: NodeName,
     address: SocketAddr,
     message: Message,
 }
 
-/// Exchanges news with other nodes for ever.
+/// Exchanges digests with other nodes forever.
 ///
-/// Up to a number of nodes each exchanges them with all others, above it through relays. Of two nodes the
-/// one with the lower name asks, and both learn from one call. A node that lost the key-value service asks
-/// more: how old its configuration is it learns from answers alone. A node that the service has no record
-/// of is asked by all who know it, or by the relay of its zone.
+/// Up to a number of nodes, each node exchanges digests with all others; above it they go through relays.
+/// Of two nodes the one with the lower name initiates the exchange, which updates both. A node that lost
+/// the key-value service initiates more exchanges, because only replies tell it how old its configuration
+/// is. A node without a record in the service is contacted by all nodes that know it, or by the relay of
+/// its zone.
 pub async fn exchange(gateway: Arc<Gateway>) {
     let mut endpoints: HashMap<SocketAddr, Arc<Endpoint>> = HashMap::new();
     loop {
         let asks = gateway.with(|state| due(&gateway, state));
-        // Not all are asked in each round; connections are kept as long as their nodes are known.
+        // Not every node is contacted in each round; connections are kept while their nodes are known.
         gateway.with(|state| endpoints.retain(|address, _| state.members.has_port(*address)));
-        // The same message goes to all: made anew for each, it would cost a node its number of peers.
+        // The same digest goes to all nodes. It is encoded once, as the cost would otherwise grow with
+        // the number of peers.
         let mut encoded: BTreeMap<(DigestScope, DigestScope), Bytes> = BTreeMap::new();
         for Ask { address, message, .. } in asks {
             let bytes = match message.to {
@@ -101,7 +103,7 @@
     }
 }
 
-// The messages of one round.
+// Returns the exchanges that this node initiates in one round.
 fn due(gateway: &Gateway, state: &mut State) -> Vec<Ask> {
     let now = clock::now();
     state.exchanges += 1;
@@ -140,7 +142,7 @@
     if plan.role != state.relays.role {
         let (before, role) = (state.relays.role, plan.role);
         tracing::info!(event = Event::RoleChanged.number(), ?role, ?before);
-        // What was told to the role before is about other sets of nodes.
+        // Aggregates that were received in the previous role are about other sets of nodes.
         state.sources.clear();
         state.members.forget_offered();
         state.backends.iter_mut().for_each(|(_, backend)| backend.unhear_all());
@@ -149,11 +151,11 @@
     state.relays = plan;
 }
 
-/// One round of the exchange.
+/// One round of gossip.
 struct Round<'a> {
     gateway: &'a Gateway,
     now: Stamp,
-    /// Whether this node does not know that its configuration is the newest.
+    /// Whether this node's configuration is not known to be the newest.
     blind: bool,
 }
 
@@ -169,7 +171,7 @@
         let own = &self.gateway.settings.gateway.name;
         let mut asks = Vec::new();
         for (node, member) in state.members.iter() {
-            // A node without a record may not know of this one, and would not ask.
+            // A node without a record may not know this one, so it would not initiate the exchange.
             if self.blind || own < node || !member.listed {
                 asks.push(ask_of(node, member, DigestScope::Own, DigestScope::Own));
             }
@@ -190,7 +192,7 @@
             } else if state.relays.far.contains(node) && self.asks_first(node, member) {
                 asks.push(ask_of(node, member, DigestScope::Zone, DigestScope::Zone));
             } else if is_relay && is_near && !member.listed {
-                // It may not know of any relay.
+                // It may not know any relay.
                 let mut ask = ask_of(node, member, DigestScope::Others, DigestScope::Own);
                 ask.message.to = Some(member.record.incarnation);
                 asks.push(ask);
@@ -210,7 +212,7 @@
         asks
     }
 
-    // Each second round the standby of the zone is told what its relay is told.
+    // In every second round the standby relay of the zone gets the digest that its relay gets.
     fn standby_ask(&self, state: &State, asks: &[Ask]) -> Option<Ask> {
         let standby = state.relays.standby.as_ref()?;
         let is_asked = asks.iter().any(|ask| ask.node == *standby);
@@ -240,15 +242,15 @@
 async fn ask(gateway: Arc<Gateway>, endpoint: Arc<Endpoint>, message: Bytes) {
     let asked = clock::now();
     let told = call::<Digest>(&endpoint, DIGEST_PATH, message, DIGEST).await;
-    // A node that does not answer is not heard any more, which its absence from the addresses and
-    // the shares kept back for it show.
+    // An error needs no handling: a node that does not respond misses its heartbeat timeout, which
+    // removes it from the callers' addresses and reserves its share of quotas.
     let Ok(told) = told else { return };
     if let Some(reading) = hear(&gateway, Some(asked), told) {
         read_document(reading, &endpoint).await;
     }
 }
 
-/// Reads the configuration of another node and puts it in force.
+/// Fetches the configuration of another node and activates it.
 pub async fn read_document(reading: Reading, endpoint: &Endpoint) {
     let found = call::<Document>(endpoint, DOCUMENT_PATH, Bytes::new(), DOCUMENT).await;
     meters::document_read(found.as_ref().err().map(|error| &error.fault));
@@ -258,7 +260,7 @@
     }
 }
 
-/// Returns the way to a node.
+/// Returns the endpoint of a node.
 pub fn endpoint(address: SocketAddr) -> Endpoint {
     let options =
         EndpointOptions { connect: CONNECT, answer: ANSWER, ..EndpointOptions::default() };
--- a/crates/gateway/src/cluster/follow.rs
+++ b/crates/gateway/src/cluster/follow.rs
@@ -1,4 +1,4 @@
-//! Following the keys below a prefix of the key-value service through outages and lost history.
+//! Following of the keys below a prefix of the key-value service, through outages and lost history.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,46 +13,46 @@
 
 use crate::{clock, gateway::Gateway, meters};
 
-/// What the calls of a follower count as.
+/// The purpose against whose call budget a follower's calls count.
 const RECORDS: Purpose = Purpose::Records;
-/// The pause after a failed call; nodes draw from the upper half of it, doubled up to two times.
+/// The base of the pause after a failed call: it is doubled at most twice, and jitter takes off up to half.
 const PAUSE: Duration = Duration::from_millis(200);
-/// The time between two looks at whether others still tell what is followed.
+/// The interval of checks whether relays still supply what is followed.
 const FED_LOOK: Duration = Duration::from_millis(100);
-/// The wait of the first watch after a failure.
+/// The duration of the first watch after a failure.
 const WAIT_FIRST: Duration = Duration::from_millis(100);
 /// The status of a watch whose start is no longer in the service's history.
 const HISTORY_GONE: u16 = 410;
 
-/// A `Follower` takes in what is found below a prefix.
+/// A `Follower` applies the keys and changes below a prefix.
 pub trait Follower: Send + Sync {
-    /// Returns whether other nodes tell what is followed, so that the service need not be asked.
+    /// Returns whether relays supply what is followed, so that the service need not be called.
     fn is_fed(&self) -> bool {
         false
     }
 
-    /// Notes that others tell what is followed.
+    /// Notes that relays supply what is followed.
     fn fed(&self) {}
 
-    /// Returns how often others have told what is followed.
+    /// Returns the number of updates that relays have supplied.
     fn times_fed(&self) -> u64 {
         0
     }
 
-    /// Notes that the service answers again after calls that failed.
+    /// Notes that the service responds again after failed calls.
     fn regained(&self, _now: Stamp) {}
 
-    /// Notes that the service does not answer.
+    /// Notes that the service does not respond.
     fn lost(&self) {}
 
-    /// Takes in all keys, as they were at some moment after `asked`.
+    /// Applies a list of all keys, as they were at some moment after `asked`.
     fn listed(&self, asked: Stamp, changes: Vec<Change>);
 
-    /// Takes in changes; nothing else changed up to `moment`.
+    /// Applies changes; nothing else changed up to `moment`.
     fn changed(&self, moment: Stamp, changes: Vec<Change>);
 }
 
-/// Follows the keys below `prefix` for ever, with watches of the length `wait`.
+/// Follows the keys below `prefix` forever, with watches of the duration `wait`.
 pub async fn follow(
     gateway: Arc<Gateway>,
     prefix: &'static str,
@@ -70,13 +70,14 @@
             sleep(FED_LOOK).await;
             continue;
         }
-        // What others told may be ahead of a watch or behind it: only a new list is sure to be complete.
+        // Updates from a relay may be ahead of a watch or behind it: only a new list is sure to be complete.
         if follower.times_fed() != times_fed {
             times_fed = follower.times_fed();
             at = None;
         }
-        // Changes that come in quick succession, as when many backend servers start, are told by one
-        // answer. One call for each would take the service's calls from all nodes.
+        // The budget batches changes that come in quick succession, as when many backend servers start,
+        // into one response. A call for each change would use up the calls that the service has for all
+        // nodes.
         while let Err(later) = budget.take(clock::now(), RECORDS) {
             sleep(later.since(clock::now())).await;
         }
@@ -88,7 +89,7 @@
                 gateway.platform.key_value.watch(prefix, after, wait).await
             }
         };
-        // An answer that was under way meanwhile would bring back what has changed since.
+        // A relay's update arrived during the call; the response may be older and would undo it.
         if follower.times_fed() != times_fed {
             continue;
         }
@@ -109,7 +110,7 @@
                 }
             }
             Err(error) if error.fault == (CallFault::Refused { status: HISTORY_GONE }) => at = None,
-            // A watch tells every version since its start, a list the newest ones only.
+            // A watch returns every version since its start, a list only the newest ones.
             Err(error) if error.fault == CallFault::TooLarge && at.is_some() => at = None,
             Err(error) => {
                 if failures == 0 {
@@ -124,8 +125,8 @@
     }
 }
 
-// The first watch after a failure is short: when the service is back must not be learned only at the
-// end of a whole wait, since records that lapsed may be missing for two seconds from then on.
+// The first watch after a failure is short: the node has to learn quickly that the service has recovered,
+// because from then on expired records may be missing only for two seconds.
 fn wait_after(failures: u32, wait: Duration) -> Duration {
     if failures == 0 { wait } else { WAIT_FIRST.min(wait) }
 }
@@ -135,7 +136,7 @@
     full.mul_f64(rand::rng().random_range(0.5..1.0))
 }
 
-// An empty answer was made when the wait was over; one with changes at any time after the call.
+// An empty response was made at the end of the wait, one with changes at any time after the call.
 fn moment(asked: Stamp, wait: Duration, found: &Changes) -> Stamp {
     let waited = found.changes.is_empty() && wait <= clock::now().since(asked);
     if waited { asked + wait } else { asked }
--- a/crates/gateway/src/cluster/hear.rs
+++ b/crates/gateway/src/cluster/hear.rs
@@ -1,4 +1,4 @@
-//! What a node takes in of what others tell.
+//! Processing of received digests.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,20 +15,20 @@
     table::RouteTable,
 };
 
-/// For how long another node must have followed the records of backend servers without a failure for
-/// its word that the key-value service was not away: twice what records that lapsed take to return.
+/// How long another node must have followed the records of backend servers without a failure to prove
+/// that the key-value service had no outage: twice the time in which expired records are rewritten.
 const STEADY_FOR: Duration = Duration::from_secs(4);
-/// The time that the key-value service has to bring a configuration that other nodes have, besides what
-/// its size takes.
+/// The head start of the key-value service over other nodes in the delivery of a newer configuration,
+/// besides the transfer time.
 const SERVICE_FIRST: Duration = Duration::from_millis(500);
-/// The bytes of a configuration that the key-value service has a second for.
+/// The bytes of a configuration for which the key-value service gets another second.
 const SERVICE_RATE: f64 = 1_000_000.0;
 
-/// A `Reading` is the only reading of a configuration from another node, until it is dropped.
+/// A `Reading` is the permission to fetch a configuration from another node; there is one at a time.
 pub struct Reading {
-    /// The node that reads.
+    /// The node that fetches.
     pub gateway: Arc<Gateway>,
-    /// The node that is read from.
+    /// The address of the node that is read from.
     pub address: SocketAddr,
 }
 
@@ -38,8 +38,8 @@
     }
 }
 
-/// Takes in what a node told, no earlier than `since` where that is known; returns the reading of its
-/// configuration where that is due.
+/// Applies a digest, which was made no earlier than `since` if that is known; returns the fetch of the
+/// sender's configuration if one is due.
 pub fn hear(gateway: &Arc<Gateway>, since: Option<Stamp>, mut told: Digest) -> Option<Reading> {
     let now = clock::now();
     let own = gateway.revision();
@@ -65,8 +65,8 @@
         member.day_ahead = Some(told.wall_clock_ms as i64 - as_millis(gateway.own_day()) as i64);
         let address = member.record.peers;
         let zone = member.record.zone.clone();
-        // Only who has the same configuration tells something about the age of this node's, and
-        // only in an answer: a message may have been under way for long.
+        // Only a node with the same revision proves the age of this node's configuration, and only in a
+        // reply: the transit time of a request is not known.
         if let (Some(since), Some(age)) = (since, told.config_age_ms)
             && told.revision == own
         {
@@ -87,7 +87,7 @@
     })
 }
 
-/// One message that is taken in.
+/// One received digest.
 struct Hearing<'a> {
     gateway: &'a Gateway,
     now: Stamp,
@@ -123,7 +123,7 @@
         }
     }
 
-    // Whether what is told of requests is taken in: each request must count once.
+    // Whether the loads and counts of the digest are applied: each request must count only once.
     fn is_source(&self, state: &mut State, told: &Digest) -> bool {
         let is_near = self.zone == self.gateway.settings.gateway.zone;
         let scope = match (told.scope, state.relays.role) {
@@ -159,7 +159,7 @@
         if state.relays.role != Role::Member {
             return;
         }
-        // An answer may come late; what it tells may be older than what is known.
+        // A late reply may hold older records than those known.
         let fits = match state.relay_cursor(self.now) {
             None => backends.after == 0 && members.after == 0,
             Some(known) => {
@@ -233,7 +233,7 @@
     }
 }
 
-// Another relay tells of the same requests now.
+// Drops the loads and counts of a source that another relay replaces.
 fn drop_source(state: &mut State, life: Incarnation) {
     drop_loads(state, life);
     if let Some(member) = state.members.life_mut(life) {
--- a/crates/gateway/src/cluster/members.rs
+++ b/crates/gateway/src/cluster/members.rs
@@ -11,24 +11,24 @@
 
 use crate::{change_log::ChangeLog, cluster::MemberNews, demand::Offered};
 
-/// How long a node that is not heard still counts as there: four exchanges of 250 ms and a little.
+/// The heartbeat timeout of a node: four gossip intervals of 250 ms and a margin.
 const HEARD_FOR: Duration = Duration::from_millis(1_200);
-/// How long a node without a record in the key-value service is kept while it is still heard.
+/// The time after which a node without a record in the key-value service is removed if it is silent.
 const UNLISTED_FOR: Duration = Duration::from_secs(3);
 
-/// The nodes whose records went last of which is known when.
+/// The maximum number of tombstones of removed records.
 const GONE_KEPT: usize = 2_048;
 
 /// A `MemberRecord` is what a node writes into the key-value service about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// This life of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// Its address for callers' requests.
     pub callers: SocketAddr,
-    /// Where other nodes connect.
+    /// Its address for gossip with other nodes.
     pub peers: SocketAddr,
 }
 
@@ -39,21 +39,21 @@
     pub record: MemberRecord,
     /// Whether the record is in the key-value service.
     pub listed: bool,
-    /// The number of the last change of that.
+    /// The number of the last change of its registration.
     pub changed_at: u64,
-    /// When it was last heard, by this node or by a relay that passed it on.
+    /// When its last digest was received by this node or by a relay.
     pub last_received: Option<Stamp>,
-    /// When this node last heard it.
+    /// When its last digest was received by this node.
     pub direct_at: Option<Stamp>,
-    /// Since when it owes this node an answer.
+    /// Since when a reply to this node is pending.
     pub unanswered_since: Option<Stamp>,
-    /// When another node last told that it hears it.
+    /// When another node last reported it as alive and without a record.
     pub told_at: Option<Stamp>,
-    /// Whether it said last that it serves callers.
+    /// Whether it serves callers, by its last digest.
     pub ready: bool,
-    /// By how much its time of day is ahead, in milliseconds.
+    /// The offset of its wall clock from this node's, in milliseconds.
     pub day_ahead: Option<i64>,
-    /// The work that it sends to the engines of each service, or that those send of which it tells.
+    /// The load that it, or the nodes that it aggregates, offers to the engines of each service.
     pub offered: BTreeMap<ServiceName, Offered>,
 }
 
@@ -62,12 +62,12 @@
 pub struct Members {
     nodes: BTreeMap<NodeName, Member>,
     lives: BTreeMap<Incarnation, NodeName>,
-    /// The changes of what is in the key-value service since the start.
+    /// The changes of the nodes' records in the key-value service since the start.
     changes: ChangeLog<NodeName, GONE_KEPT>,
     /// Whether this node's own record is not in the key-value service.
     pub own_missing: bool,
-    /// Since when the record of the duties' holder is not in the key-value service; none while it
-    /// is, and before the service was asked.
+    /// Since when the key-value service has no record of a holder of the duties; none while there is a
+    /// record, and before the first list.
     pub duty_free_since: Option<Stamp>,
 }
 
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Notes a message of the node itself.
+    /// Notes a digest of the node itself.
     pub fn note_message(&mut self, now: Stamp, ready: bool) {
         self.last_received = Some(now);
         self.direct_at = Some(now);
@@ -95,7 +95,7 @@
         self.ready = ready;
     }
 
-    /// Notes that a relay heard the node at `at`.
+    /// Notes that a relay received a digest of the node at `at`.
     pub fn note_passed_on(&mut self, at: Stamp, ready: bool) {
         if self.last_received < Some(at) {
             self.last_received = Some(at);
@@ -103,24 +103,24 @@
         }
     }
 
-    /// Returns whether the node itself, or a relay of it, was heard lately.
+    /// Returns whether the node is alive: its last digest, also through a relay, is within the timeout.
     pub fn is_heard(&self, now: Stamp) -> bool {
         self.last_received.is_some_and(|at| now.since(at) < HEARD_FOR)
     }
 
-    /// Returns whether this node heard it lately.
+    /// Returns whether its last digest to this node itself is within the heartbeat timeout.
     pub fn is_heard_here(&self, now: Stamp) -> bool {
         self.direct_at.is_some_and(|at| now.since(at) < HEARD_FOR)
     }
 
-    /// Returns whether it has owed an answer for `longest` or longer.
+    /// Returns whether its reply has been pending for `longest` or longer.
     pub fn is_silent(&self, now: Stamp, longest: Duration) -> bool {
         self.unanswered_since.is_some_and(|since| longest <= now.since(since))
     }
 }
 
 impl Members {
-    /// Takes in the record of a node that is in the key-value service.
+    /// Adds the record of a node from the key-value service.
     pub fn list(&mut self, name: &NodeName, record: MemberRecord) {
         let is_new =
             self.upsert(name, record, "key-value service").is_some_and(|node| !node.listed);
@@ -133,29 +133,29 @@
         }
     }
 
-    /// Takes in the record of a node from its own word.
+    /// Adds the record of a node from its own digest.
     ///
-    /// The key-value service lacks the records of nodes that lost their way to it, and such nodes see no
-    /// record that is written meanwhile. Were they not known to each other, a team would get its limit
-    /// from each side, and what one side did would be missing in reports.
+    /// The key-value service loses the records of nodes that can't reach it, and such nodes see no record
+    /// that is written meanwhile. If the two sides did not know each other, a team would get its limit
+    /// on each side, and usage reports would lack the requests of one side.
     pub fn introduce(&mut self, name: &NodeName, record: MemberRecord) {
         self.upsert(name, record, "itself");
     }
 
-    /// Takes in the record of a node that another node hears.
+    /// Adds the record of a node that another node reports as alive.
     pub fn note_told(&mut self, now: Stamp, name: &NodeName, record: MemberRecord) {
         if let Some(member) = self.upsert(name, record, "node") {
             member.told_at = Some(now);
         }
     }
 
-    /// Returns the nodes that are heard and have no record in the key-value service.
+    /// Returns the nodes that are alive and have no record in the key-value service.
     pub fn unlisted(&self, now: Stamp) -> impl Iterator<Item = (&NodeName, &MemberRecord)> {
         let heard = self.nodes.iter().filter(move |(_, member)| member.is_heard_here(now));
         heard.filter(|(_, member)| !member.listed).map(|(name, member)| (name, &member.record))
     }
 
-    // Returns the member with the record; none where a later life of the node is known.
+    // Returns the member with the record; none if a later incarnation of the node is known.
     fn upsert(
         &mut self,
         name: &NodeName,
@@ -183,14 +183,14 @@
         self.nodes.get_mut(name)
     }
 
-    /// Notes that the record of a node is gone.
+    /// Notes that the record of a node was removed.
     pub fn unlist(&mut self, name: &NodeName) {
         let Some(member) = self.nodes.get_mut(name).filter(|member| member.listed) else { return };
         member.listed = false;
         self.changes.note_gone(name.clone());
     }
 
-    /// Keeps only those listed.
+    /// Notes that the records of all nodes that are not in `listed` were removed.
     pub fn retain_listed(&mut self, listed: &BTreeSet<NodeName>) {
         let names: Vec<NodeName> = self.nodes.keys().cloned().collect();
         for name in names.iter().filter(|name| !listed.contains(*name)) {
@@ -198,8 +198,7 @@
         }
     }
 
-    /// Returns the changes after that with the number `after`, or all records where these are not known any
-    /// more.
+    /// Returns the updates after the change `after`, or all records if the log does not reach back that far.
     pub fn news(&self, after: u64) -> MemberNews {
         let records = |after| {
             let listed = self.nodes.iter().filter(|(_, member)| member.listed);
@@ -210,14 +209,14 @@
         self.changes.news(after, records, is_listed)
     }
 
-    /// Takes in what the node `teller` told of changes; `own` is this node.
+    /// Applies updates from the node `teller`; `own` is this node.
     pub fn take_news(&mut self, news: MemberNews, teller: &NodeName, own: &NodeName) {
         let MemberNews { after, records, gone, .. } = news;
         if after == 0 {
             let mut names: BTreeSet<NodeName> =
                 records.iter().map(|(name, _)| name.clone()).collect();
             self.own_missing = !names.contains(own);
-            // It does not tell of itself.
+            // It does not report itself.
             names.insert(teller.clone());
             self.retain_listed(&names);
         }
@@ -234,7 +233,7 @@
         }
     }
 
-    /// Removes nodes without a record that nobody hears any more.
+    /// Removes nodes that have no record and are dead.
     pub fn expire(&mut self, now: Stamp) {
         let lives = &mut self.lives;
         self.nodes.retain(|name, member| {
@@ -253,17 +252,17 @@
         self.nodes.get(name)
     }
 
-    /// Returns a node, to be changed.
+    /// Returns a mutable reference to a node.
     pub fn get_mut(&mut self, name: &NodeName) -> Option<&mut Member> {
         self.nodes.get_mut(name)
     }
 
-    /// Returns one life of a node, to be changed.
+    /// Returns a mutable reference to the node with an incarnation.
     pub fn life_mut(&mut self, life: Incarnation) -> Option<&mut Member> {
         self.nodes.get_mut(self.lives.get(&life)?)
     }
 
-    /// Drops what all nodes told of their work.
+    /// Drops the offered load of all nodes.
     pub fn forget_offered(&mut self) {
         self.nodes.values_mut().for_each(|member| member.offered.clear());
     }
@@ -273,7 +272,7 @@
         self.nodes.iter()
     }
 
-    /// Returns by how much the times of day of the other nodes are ahead, in milliseconds.
+    /// Returns the offsets of the other nodes' wall clocks from this node's, in milliseconds.
     pub fn days_ahead(&self) -> impl Iterator<Item = i64> {
         self.nodes.values().filter_map(|member| member.day_ahead)
     }
@@ -283,25 +282,25 @@
         self.nodes.len() + 1
     }
 
-    /// Returns the number of other nodes that are heard.
+    /// Returns the number of other nodes that are alive.
     pub fn live_count(&self, now: Stamp) -> usize {
         self.nodes.values().filter(|member| member.is_heard(now)).count()
     }
 
-    /// Returns whether some node takes others' connections at an address.
+    /// Returns whether an address is the one at which some node receives gossip.
     pub fn has_port(&self, address: SocketAddr) -> bool {
         self.nodes.values().any(|member| member.record.peers == address)
     }
 
-    /// Returns whether a life of a node is known.
+    /// Returns whether an incarnation of a node is known.
     pub fn is_known(&self, incarnation: Incarnation) -> bool {
         self.lives.contains_key(&incarnation)
     }
 
     /// Returns the callers' addresses of the other nodes that serve.
     ///
-    /// A node that hears nobody can't tell who serves and names all: callers try others where one
-    /// does not answer.
+    /// A node that receives no digests can't tell which nodes serve and returns all of them: callers try
+    /// another address if one does not respond.
     pub fn serving(&self, now: Stamp) -> Vec<SocketAddr> {
         let deaf = self.live_count(now) == 0;
         let mut addresses = Vec::new();
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -1,4 +1,4 @@
-//! Nodes find each other through the key-value service.
+//! Registration of nodes in the key-value service, through which they find each other.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -16,19 +16,19 @@
     gateway::{Gateway, Phase},
 };
 
-/// What lies below this prefix is watched by every node.
+/// The prefix of all keys that every node watches.
 const PREFIX: &str = "bulrushhall/";
 /// The prefix of the records of nodes.
 const NODES: &str = "bulrushhall/nodes/";
 /// The key of the holder of the duties.
 pub const DUTY_KEY: &str = "bulrushhall/duty";
-/// The wait of a watch.
+/// The duration of a watch.
 const WAIT: Duration = Duration::from_secs(5);
-/// How long a record stays after its node died.
+/// The time after which the record of a dead node expires.
 const RECORD_TTL: Duration = Duration::from_secs(6);
-/// The time between two renewals: two may fail before the record lapses.
+/// The interval of renewals: two may fail before the record expires.
 const RENEW_EACH: Duration = Duration::from_secs(2);
-/// The tries to write a record whose version changes meanwhile.
+/// The number of attempts to write a record whose version changes concurrently.
 const TRIES: usize = 4;
 /// The pause after a failed write.
 const PAUSE: Duration = Duration::from_millis(500);
@@ -37,7 +37,7 @@
     gateway: Arc<Gateway>,
 }
 
-/// Follows the records of nodes for ever.
+/// Follows the records of nodes forever.
 pub async fn follow_members(gateway: Arc<Gateway>) {
     let follower = MemberFollower { gateway: Arc::clone(&gateway) };
     follow(gateway, PREFIX, WAIT, follower).await;
@@ -47,7 +47,7 @@
 pub async fn register(gateway: Arc<Gateway>) {
     let mut lease: Option<LeaseId> = None;
     while gateway.phase() == Phase::Serving {
-        // A lease that lives on says nothing of the record, which may be gone all the same.
+        // The record may have been removed although its lease is still valid.
         let missing = gateway.with(|state| state.members.own_missing);
         let kept = match lease {
             Some(held) if !missing => gateway.platform.key_value.renew(held).await.map(|()| held),
@@ -58,7 +58,7 @@
                 lease = Some(held);
                 pause_until_missing(&gateway).await;
             }
-            // Whether it lapsed or could not be renewed: a new lease can't be wrong.
+            // Whether the lease expired or could not be renewed, a new one is safe.
             Err(_) => {
                 lease = None;
                 sleep(PAUSE).await;
@@ -81,7 +81,7 @@
     let key = format!("{NODES}{}", gateway.settings.gateway.name);
     let lease = kv.grant(RECORD_TTL).await?;
     let mut expected = Version(0);
-    // The record of an earlier life may still be there, and may lapse between two tries.
+    // The record of an earlier incarnation may still exist, and may expire between two attempts.
     for _ in 0..TRIES {
         match kv.put_if(&key, expected, value.clone(), Some(lease)).await? {
             CasOutcome::Written(_) => {
@@ -132,7 +132,7 @@
     }
 
     fn fed(&self) {
-        // Who holds the duties is not told.
+        // Relays do not report the holder of the duties.
         self.gateway.with(|state| state.members.duty_free_since = None);
     }
 
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! What a node learns from the key-value service and from other nodes.
+//! Cluster state: what a node learns from the key-value service and by gossip with other nodes.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 pub use membership::{DUTY_KEY, follow_members, register};
 pub use peer_port::PeerPort;
 
-/// `MemberNews` are changes of the records of nodes in the key-value service.
+/// `MemberNews` are updates of the records of nodes in the key-value service.
 pub type MemberNews = News<NodeName, MemberRecord>;
 
 fn as_millis(time: Duration) -> u64 {
--- a/crates/gateway/src/cluster/peer_port.rs
+++ b/crates/gateway/src/cluster/peer_port.rs
@@ -1,4 +1,4 @@
-//! The port that takes what other nodes tell, and answers them.
+//! The port on which a node receives the digests of other nodes and replies to them.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     gateway::Gateway,
 };
 
-/// A `PeerPort` answers other nodes.
+/// A `PeerPort` handles the requests of other nodes.
 pub struct PeerPort {
     gateway: Arc<Gateway>,
 }
@@ -73,7 +73,7 @@
 }
 
 impl PeerPort {
-    // The records for a member that nobody tells them, or that this node told them so far.
+    // Returns the record updates for a member without a relay, or with this node as its relay.
     fn records(&self, known: Option<RecordsKnown>) -> Option<(RecordNews, MemberNews)> {
         let own = self.gateway.incarnation;
         let (backends, members) = match known {
--- a/crates/gateway/src/cluster/tell.rs
+++ b/crates/gateway/src/cluster/tell.rs
@@ -1,4 +1,4 @@
-//! What a node tells others: of itself, and as a relay of the nodes that it sums up.
+//! Creation of digests: of the node itself, and as a relay of the nodes that it aggregates.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,29 +13,29 @@
     gateway::{Gateway, State},
 };
 
-/// For how long a part that was sent is told, so that three of four exchanges may be lost.
+/// How long a prompt part is reported after it was sent: three of four digests may be lost.
 const PARTS_TOLD_FOR: Duration = Duration::from_millis(1_000);
-/// For how long a part is told where relays pass it on, so that one of two exchanges may be lost.
+/// How long a prompt part is reported when relays are in use: one of two digests may be lost.
 const PARTS_PASSED_ON_FOR: Duration = Duration::from_millis(450);
-/// The exchanges after which all windows of usage are told and not the newest alone.
+/// The number of rounds after which all usage windows are reported instead of only the newest.
 const ALL_WINDOWS_EACH: u64 = 8;
-/// The exchanges after which news that may be late are passed on by relays.
+/// The number of rounds after which relays report values that may be late.
 const LATE_NEWS_EACH: u64 = 4;
-/// What a team asks for in a second below which it is not told.
+/// The minimum quota per second that a team has to request to be reported.
 const ASKED_LEAST: f64 = 1.0;
 
-/// A `Message` says which digest is wanted.
+/// A `Message` is the kind of digest to create.
 #[derive(Clone, Copy, Debug)]
 pub struct Message {
-    /// Which nodes it is about.
+    /// The nodes that it is about.
     pub scope: DigestScope,
-    /// Which nodes the answer shall be about.
+    /// The nodes that the reply is to be about.
     pub reply_scope: DigestScope,
-    /// The life that gets it, where it is for one alone.
+    /// The incarnation of the receiver, if there is only one.
     pub to: Option<Incarnation>,
 }
 
-/// Returns what a node tells.
+/// Returns a node's digest.
 pub fn digest(gateway: &Gateway, message: Message) -> Digest {
     let now = clock::now();
     let ready = gateway.is_ready();
@@ -89,7 +89,8 @@
         }
         digest.loads = self.loads(state);
         digest.offered = self.offered(state);
-        // What only this node knows is lost with it.
+        // The values of this node itself are reported in every round: nobody else knows them, so they
+        // would be lost with it.
         let is_own = self.message.scope == DigestScope::Own;
         if is_own || state.exchanges.is_multiple_of(LATE_NEWS_EACH) {
             digest.usage = self.usage(state);
@@ -99,7 +100,7 @@
         }
     }
 
-    // A message that goes to several nodes leaves nobody out.
+    // A digest for several nodes excludes none of them.
     fn receiver(&self) -> Incarnation {
         self.message.to.unwrap_or_default()
     }
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -1,4 +1,4 @@
-//! How much work the requests of a node are for the engines.
+//! The load that a node offers to the engines.
 
 use std::time::Duration;
 
@@ -6,41 +6,40 @@
 use bulrushhall_policy::observed::EnginePace;
 use serde::{Deserialize, Serialize};
 
-/// The time over which the demand is averaged: longer than a burst of a few requests, shorter than
-/// an engine takes to start.
+/// The time constant of the demand's moving average: longer than a burst of a few requests, shorter than
+/// the start of an engine.
 const AVERAGED_OVER: Duration = Duration::from_secs(3);
-/// The shortest time between two takings of the average.
+/// The minimum time between two updates of the moving average.
 const TAKEN_EACH: Duration = Duration::from_millis(200);
-/// The part of an engine's batch that is planned to be filled: half, so that a reclaim of a zone or a
-/// burst finds places.
+/// The fraction of an engine's batch that is planned to be full: half, so that there are free slots for a
+/// burst or when the engines of a zone are reclaimed.
 const BATCH_SHARE: f64 = 0.5;
 
-/// An `Offered` is the work that engines of a service are sent in a second.
+/// An `Offered` is the load that is offered to the engines of a service in a second.
 ///
-/// Nodes tell each other tokens and not times: how long these take each works out by what is known
-/// of the engines at that moment.
+/// Nodes exchange tokens and not times: each node converts them with its current model of the engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Offered {
-    /// The prompt tokens to read.
+    /// The prompt tokens to prefill.
     pub read: f64,
     /// The expected tokens of answers.
     pub answer: f64,
 }
 
 impl Offered {
-    /// Returns both together.
+    /// Returns the sum of two loads.
     pub fn plus(self, other: Offered) -> Offered {
         Offered { read: self.read + other.read, answer: self.answer + other.answer }
     }
 
-    /// Returns the engines that are kept busy all the time with it.
+    /// Returns the number of engines that it keeps busy.
     pub fn busy(self, pace: &EnginePace, slots: u32) -> f64 {
         let batch = (f64::from(slots) * BATCH_SHARE).max(1.0);
         (pace.read_ms(self.read) + pace.answer_work_ms(self.answer, batch)) / 1_000.0
     }
 }
 
-/// A `Demand` is the work that a node sends to the engines of a service.
+/// A `Demand` is the moving average of the load that a node offers to the engines of a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     rate: Offered,
@@ -55,7 +54,7 @@
         self.sent = self.sent.plus(work);
     }
 
-    /// Returns the work that is sent in a second.
+    /// Returns the load per second.
     pub fn rate(&mut self, now: Stamp) -> Offered {
         self.take(now);
         self.rate
--- a/crates/gateway/src/duties/fleet.rs
+++ b/crates/gateway/src/duties/fleet.rs
@@ -1,4 +1,4 @@
-//! Orders for backend servers.
+//! Scaling of the fleet: orders for backend servers.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,18 +17,18 @@
     table::{EngineSizes, RouteTable},
 };
 
-/// The part of an engine's memory that running requests may take in the plan; the rest keeps what
-/// prompts share.
+/// The fraction of an engine's KV cache that the plan gives to running requests; the rest is for the
+/// prefixes that prompts share.
 const MEMORY_SHARE: f64 = 0.7;
 
-/// An order that is due, with the demand that it was made from.
+/// A `DueOrder` is an order to give now, with the demand that it is based on.
 struct DueOrder {
     service: ServiceName,
     busy: f64,
     order: CountOrder,
 }
 
-/// What one service's plan is made from.
+/// An `Outlook` is the input of one service's plan.
 struct Outlook<'a> {
     service: &'a ServiceName,
     limits: &'a CountLimits,
@@ -36,7 +36,7 @@
     seen: BTreeMap<ZoneName, Seen>,
 }
 
-/// A `FleetDuty` orders as many backend servers as the demand asks for.
+/// A `FleetDuty` orders as many backend servers as the demand requires.
 #[derive(Debug, Default)]
 pub struct FleetDuty {
     planners: HashMap<ServiceName, CountPlanner>,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Notes the demand while another node holds the duty.
+    /// Records the demand while another node holds the duties.
     pub fn observe(&mut self, gateway: &Gateway) {
         let Some(table) = gateway.table.load_full() else { return };
         let now = clock::now();
@@ -130,8 +130,8 @@
     outlooks
 }
 
-// The engines that the demand of all nodes keeps busy: with their time, or with their memory where that
-// is what fills up first.
+// Returns the number of engines that the demand of all nodes keeps busy, by compute time or by KV cache,
+// whichever needs more.
 fn busy(state: &mut State, service: &ServiceName, sizes: EngineSizes) -> f64 {
     let now = clock::now();
     let mut offered =
--- a/crates/gateway/src/duties/holder.rs
+++ b/crates/gateway/src/duties/holder.rs
@@ -1,4 +1,4 @@
-//! The lease under which a node carries out the duties.
+//! The lease that permits a node to carry out the duties.
 
 use std::{
     sync::{Arc, Mutex},
@@ -25,28 +25,28 @@
     meters,
 };
 
-/// The time between two looks at whether a call is due.
+/// The interval of checks whether a call for the lease is due.
 const EACH: Duration = Duration::from_millis(100);
-/// The longest time of a call: the lease is lost where renewals take longer.
+/// The timeout of a call: the lease is lost if renewals take longer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// The part of a lease that its holder does not count on: an order under way at its end still has
-/// to arrive before the next holder's first.
+/// The fraction of a lease that its holder does not use: an order that is in flight when the holder stops
+/// has to arrive before the next holder's first.
 const MARGIN_SHARE: f64 = 0.25;
-/// The time between renewals as a part of the lease: two may fail.
+/// The renewal interval as a fraction of the lease: two renewals may fail.
 const RENEW_SHARE: f64 = 0.25;
-/// The longest time that an order may be under way.
+/// The maximum time that an order may be in flight.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time between the tries of two nodes for a free duty, in the order of their names.
+/// The delay between the attempts of two nodes to claim free duties, in the order of their names.
 const TURN: Duration = Duration::from_millis(150);
 
-/// A `Holder` holds the duties, or tries to.
+/// A `Holder` holds the lease of the duties, or tries to claim it.
 pub struct Holder {
     gateway: Arc<Gateway>,
     lease: Mutex<Lease>,
 }
 
 impl Holder {
-    /// Returns a holder that holds nothing yet.
+    /// Returns a holder without a lease.
     pub fn new(gateway: Arc<Gateway>) -> Holder {
         let ttl = Duration::from(gateway.settings.bounds.lease);
         let options = LeaseOptions {
@@ -59,7 +59,7 @@
         Holder { gateway, lease: Mutex::new(lease) }
     }
 
-    /// Returns the right to give an order now; ask right before each order.
+    /// Returns the authority to give an order now; it has to be requested right before each order.
     pub fn authority(&self) -> Option<Authority> {
         let now = clock::now();
         let hold = self.hold()?;
@@ -71,7 +71,7 @@
         self.lock(|lease| lease.hold(clock::now()))
     }
 
-    // A node tries only where nobody holds the duties: looking at a held lease costs two calls.
+    // A node tries to claim the duties only if they are free: an attempt on a held lease costs two calls.
     fn wanted(&self) -> Wanted {
         if Phase::Serving < self.gateway.phase() {
             return Wanted::No;
@@ -82,9 +82,9 @@
         let now = clock::now();
         let own = &self.gateway.settings.gateway.name;
         let free = self.gateway.with(|state| {
-            // A node without a record can't reach the service, so its turn is not waited for.
+            // A node without a record can't reach the service, so it is not waited for.
             let listed = state.members.iter().filter(|(_, member)| member.listed);
-            // Members don't see that the duties are free while relays tell them what they need.
+            // Members don't see that the duties are free while relays supply them with records.
             let relays = &state.relays;
             let tries = |name: &NodeName| relays.role == Role::Flat || relays.names(name);
             let earlier = listed.filter(|(name, _)| *name < own && tries(name)).count();
@@ -129,7 +129,7 @@
     }
 }
 
-/// Keeps the lease of the duties.
+/// Claims and renews the lease of the duties, forever.
 pub async fn keep(holder: Arc<Holder>) {
     let mut held: Option<Fence> = None;
     loop {
@@ -163,7 +163,7 @@
     LeaseReply::Failed(error.ran)
 }
 
-// A value that names nobody is nobody's own: the duty counts as held until the key vanishes.
+// A value that can't be decoded belongs to no node: the duties count as held until the key is removed.
 fn holder_of(value: &Bytes) -> HolderRecord {
     let held = std::str::from_utf8(value).ok().and_then(HolderRecord::decode);
     held.unwrap_or(HolderRecord { life: Incarnation(0), lease: 0 })
--- a/crates/gateway/src/duties/mod.rs
+++ b/crates/gateway/src/duties/mod.rs
@@ -1,4 +1,4 @@
-//! Duties that one node at a time carries out.
+//! Duties that only one node at a time carries out.
 
 mod fleet;
 mod holder;
@@ -15,10 +15,10 @@
 
 use crate::gateway::{Gateway, Phase};
 
-/// The time between two looks at what is due.
+/// The interval of checks for due work.
 const EACH: Duration = Duration::from_millis(200);
 
-/// Carries out the duties whenever this node holds them.
+/// Carries out the duties while this node holds them.
 pub async fn carry_out(gateway: Arc<Gateway>, holder: Arc<Holder>) {
     let mut usage = UsageDuty::default();
     let mut fleet = FleetDuty::default();
@@ -34,7 +34,7 @@
     }
 }
 
-// A call that takes longer may have taken effect, or may yet do so.
+// Limits the time of a call. A call that times out may have taken effect, or may still do so.
 async fn within<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, CallError>>,
--- a/crates/gateway/src/duties/usage.rs
+++ b/crates/gateway/src/duties/usage.rs
@@ -1,4 +1,4 @@
-//! The report of the requests that each team began.
+//! Reports of the number of requests that each team has started.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -16,21 +16,22 @@
     gateway::Gateway,
 };
 
-/// Where the reports are fixed.
+/// The key under which the reports are stored before they are sent.
 const KEY: &str = "bulrushhall-usage";
-/// How long after its end a window is fixed where nodes tell each other: five exchanges of 250 ms.
+/// The time after its end at which a window's counts are final without relays: five gossip intervals of
+/// 250 ms.
 const SETTLED_AFTER: Duration = Duration::from_millis(1_300);
-/// How long after its end a window is fixed where relays pass on counts: three ways of 800 ms, and one
-/// message lost.
+/// The time after its end at which a window's counts are final with relays: three hops of 800 ms and one
+/// lost digest.
 const SETTLED_BY_RELAYS: Duration = Duration::from_millis(3_200);
-/// The windows that a new holder sends once more: those whose reports are not due yet.
+/// The number of windows that a new holder sends again: those whose reports are not due yet.
 const SENT_AGAIN: usize = 3;
 /// The pause after a failed call.
 const PAUSE: Duration = Duration::from_millis(400);
-/// The longest time of a call to the key-value service.
+/// The timeout of a call to the key-value service.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A `UsageDuty` reports the windows one after the other.
+/// A `UsageDuty` reports the usage windows in order.
 #[derive(Debug, Default)]
 pub struct UsageDuty {
     fixed: Option<(Version, FixedReports)>,
@@ -39,7 +40,7 @@
 }
 
 impl UsageDuty {
-    /// Fixes and sends what is due.
+    /// Stores and sends the reports that are due.
     pub async fn act(&mut self, gateway: &Arc<Gateway>, holder: &Holder) {
         if clock::now() < self.paused_until {
             return;
@@ -82,8 +83,8 @@
             false => rmp_serde::from_slice(&found.value)
                 .map_err(|_| CallError::not_done(CallFault::Malformed))?,
         };
-        // The holder before may have fixed windows and died before it sent them. Sent again, an equal
-        // report changes nothing.
+        // The previous holder may have stored reports and failed before it sent them. Reports are
+        // idempotent, so they are sent again.
         for (window, counts) in fixed.windows.iter().rev().take(SENT_AGAIN) {
             self.unsent.insert(*window, counts.clone());
         }
@@ -91,8 +92,8 @@
         Ok(())
     }
 
-    // The report is decided before it is sent. A write whose answer is lost may still land, and then
-    // it lands on this version or not at all; reading again tells which report holds.
+    // Stores a report before it is sent. A write whose response is lost may still take effect, but only
+    // on this version; reading the key again shows which report was stored.
     async fn fix(&mut self, gateway: &Gateway, window: Window) -> Result<(), CallError> {
         let Some((version, fixed)) = self.fixed.take() else { return Ok(()) };
         let mut counts = gateway.with(|state| state.usage.total(window, gateway.incarnation));
--- a/crates/gateway/src/fleet_settings.rs
+++ b/crates/gateway/src/fleet_settings.rs
@@ -1,47 +1,47 @@
-//! How many engines a node orders for a demand, as its INI file tells.
+//! The settings for the number of engines that a node orders for a demand.
 
 use bulrushhall_core::config::{Problem, Section};
 use bulrushhall_policy::fleet_counts::Staffing;
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
 
-/// The least part of an engine's time that may be planned to be used: below it a fleet would be ten
-/// times what its demand needs.
+/// The minimum of the planned utilization of engines: below it, a fleet would have more than ten times the
+/// engines that its demand needs.
 const USED_LEAST: f64 = 0.1;
-/// The most starts of an engine that a demand may be kept for.
+/// The maximum of the times for which a demand is kept, in starts of an engine.
 const STARTS_MOST: f64 = 100.0;
-/// The most engines that may be added for a demand of one.
+/// The maximum number of engines that are added for a demand of one.
 const SPREAD_MOST: f64 = 10.0;
 
-/// `FleetSettings` tell how many engines a node orders for a demand.
+/// `FleetSettings` are the settings for the number of engines that a node orders for a demand.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetSettings {
-    /// The part of an engine's time that is used at most.
+    /// The maximum planned utilization of an engine, as a fraction of its time.
     #[serde_as(as = "DisplayFromStr")]
     pub used_most: f64,
-    /// How many engines more are needed than are busy, in square roots of these.
+    /// The spare engines, as a multiple of the square root of the number of busy ones.
     #[serde_as(as = "DisplayFromStr")]
     pub spread: f64,
-    /// How many starts of an engine the highest demand is kept for in reclaimable ones.
+    /// The time for which reclaimable engines are kept for the highest demand, in starts of an engine.
     #[serde_as(as = "DisplayFromStr")]
     pub kept_starts: f64,
-    /// How many starts of an engine the highest demand is kept for in on-demand ones.
+    /// The time for which on-demand engines are kept for the highest demand, in starts of an engine.
     #[serde_as(as = "DisplayFromStr")]
     pub stand_in_starts: f64,
 }
 
 impl FleetSettings {
-    /// Returns how many engines a demand needs.
+    /// Returns the rule for the number of engines.
     pub fn staffing(&self) -> Staffing {
         let FleetSettings { used_most, spread, kept_starts, stand_in_starts } = *self;
         Staffing { used_most, spread, kept_starts, stand_in_starts }
     }
 
-    /// Returns what is wrong with the values.
+    /// Returns the values that are out of range.
     ///
-    /// A part of 0 would order all engines there are, and one that is no number none at all.
+    /// A utilization of 0 would order all engines that are available, and NaN would order none.
     pub fn problems(&self, file: &str, sections: &[Section]) -> Vec<Problem> {
         let mut problems = Vec::new();
         let Some(section) = sections.iter().find(|section| section.kind == "fleet") else {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What every part of a node needs to reach.
+//! The shared state of a node.
 
 use std::{
     collections::HashMap,
@@ -30,111 +30,111 @@
     table::RouteTable,
 };
 
-/// The part of the time for revocations that is kept free: for a request on its way to a backend
-/// server, and for clocks that run apart.
+/// The margin within the time bound for revocations: for a request in transit to a backend server, and
+/// for clock drift.
 const REVOCATION_MARGIN: Duration = Duration::from_millis(400);
-/// The part of the time for configurations that is kept free: for hearing of a newer one, which takes an
-/// exchange of 250 ms, and for a request on its way to a backend server.
+/// The margin within the time bound for configurations: for learning of a newer one, which takes a gossip
+/// interval of 250 ms, and for a request in transit to a backend server.
 const CONFIG_MARGIN: Duration = Duration::from_millis(500);
-/// The age from which a configuration may lack what others have: a route or key that this node does
-/// not know may be new. It is three times the wait of a watch.
+/// The age from which a configuration may be outdated, so that an unknown route or key may be a new one.
+/// It is three times the duration of a watch.
 const DOUBTFUL_AGE: Duration = Duration::from_millis(4_500);
 
-/// How long after a relay's last word on the records of backend servers a member follows them itself.
+/// The time since a relay's last update after which a member follows the records of backend servers itself.
 const FED_FOR: Duration = Duration::from_millis(1_000);
-/// The age of the configuration up to which a member relies on relays: the wait of a relay's watch, and the
-/// ways to this node.
+/// The age of the configuration up to which a member relies on relays: the duration of a relay's watch
+/// plus the hops to this node.
 const CONFIG_FED_AGE: Duration = Duration::from_millis(2_800);
 
-/// A `Phase` is how far a node is on its way to the stop.
+/// A `Phase` is a stage of a node's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// The node serves.
     Serving,
-    /// It is out of the addresses, and still takes what comes.
+    /// The node's address is not given out any more, but it still accepts requests.
     Leaving,
-    /// It takes nothing new and ends what it has.
+    /// The node accepts no new requests and finishes those in flight.
     Ending,
 }
 
-/// A `Platform` is what an adapter gives: the platform's services and its dialect.
+/// A `Platform` is the implementation of a platform by its adapter.
 #[derive(Clone)]
 pub struct Platform {
-    /// The heads of requests and answers.
+    /// The format of request and response heads.
     pub wire: Arc<dyn Wire>,
-    /// What lies in the key-value service.
+    /// The format of records in the key-value service.
     pub records: Arc<dyn Records>,
-    /// The key-value service, for short calls.
+    /// The key-value service.
     pub key_value: Arc<dyn KeyValue>,
-    /// The cloud, where there is one.
+    /// The cloud API, if there is one.
     pub orders: Option<Arc<dyn Orders>>,
 }
 
-/// A `State` is what a node believes and counts.
+/// A `State` is the mutable state of a node.
 #[derive(Default)]
 pub struct State {
     /// The backend servers.
     pub backends: Backends,
     /// The other nodes.
     pub members: Members,
-    /// Whom this node exchanges news with.
+    /// The role of this node in gossip, and the nodes with which it exchanges digests.
     pub relays: RelayPlan,
-    /// The relays whose sums are taken in.
+    /// The relays whose aggregates are applied.
     pub sources: NewsSources,
-    /// When another node last took this one for a relay.
+    /// When another node last contacted this one as a relay.
     pub relay_asked_at: Option<Stamp>,
-    /// The exchanges since the start.
+    /// The number of gossip rounds since the start.
     pub exchanges: u64,
-    /// Up to which moment the configuration is known to have been the newest.
+    /// The moment up to which the configuration is known to have been the newest.
     pub freshness: Freshness,
-    /// Which newer configurations other nodes told of.
+    /// The newer configurations that other nodes have.
     pub catch_up: CatchUp,
-    /// Whether the key-value service does not answer when asked for the configuration.
+    /// Whether the key-value service fails to return the configuration.
     pub config_lost: bool,
     /// Since when the records of backend servers are followed without a failure.
     pub records_steady_since: Option<Stamp>,
-    /// Up to where a relay has told this node the records of backend servers, and when it did so last.
+    /// The position in the records that a relay supplies, and the time of its last update.
     pub fed_records: Option<(RecordsKnown, Stamp)>,
-    /// How often it did so.
+    /// The number of these updates.
     pub times_fed: u64,
-    /// What each team took.
+    /// The quota of each team.
     pub quotas: HashMap<TeamName, Quota>,
-    /// When the node started, unless the whole system started for the first time.
+    /// When the node started; none if the whole system started for the first time.
     pub restarted_at: Option<Stamp>,
-    /// The repeats at each service.
+    /// The retry budget of each service.
     pub repeats: HashMap<ServiceName, RepeatShare>,
-    /// The requests begun.
+    /// The number of requests started by each team.
     pub usage: UsageCounts,
-    /// The work that engines of each service were sent.
+    /// The load that this node offers to the engines of each service.
     pub demand: HashMap<ServiceName, Demand>,
-    /// What was learnt of the backend servers of each service.
+    /// The latencies observed at the backend servers of each service.
     pub observed: HashMap<ServiceName, Observed>,
 }
 
 impl State {
-    /// Returns up to where a relay tells this node the records of backend servers; none while none does.
+    /// Returns the position in the records that a relay supplies; none while no relay does.
     pub fn relay_cursor(&self, now: Stamp) -> Option<RecordsKnown> {
         let (known, at) = self.fed_records?;
         (self.relays.role == Role::Member && now.since(at) < FED_FOR).then_some(known)
     }
 
-    /// Returns whether relays keep this node's knowledge of the configuration fresh.
+    /// Returns whether relays keep this node's configuration up to date.
     pub fn is_config_fed(&self, now: Stamp, own: Revision) -> bool {
         self.relays.role == Role::Member
             && self.freshness.is_within(now, CONFIG_FED_AGE)
             && self.catch_up.behind_since(own).is_none()
     }
 
-    /// Returns what was learnt of the backend servers of a service.
+    /// Returns the latencies observed at the backend servers of a service.
     pub fn observed(&mut self, service: &ServiceName) -> &mut Observed {
-        // Asked several times a request: the name is copied only where nothing is known yet.
+        // This is called several times per request, so the name is cloned only for a new entry.
         if !self.observed.contains_key(service) {
             self.observed.insert(service.clone(), Observed::default());
         }
         self.observed.get_mut(service).unwrap_or_else(|| unreachable!("just inserted"))
     }
 
-    /// Returns the bucket of a team.
+    /// Returns the quota of a team.
     pub fn quota(&mut self, team: &TeamName) -> &mut Quota {
         let restarted_at = self.restarted_at;
         let bucket = || restarted_at.map_or_else(Quota::default, Quota::drained);
@@ -142,25 +142,25 @@
     }
 }
 
-/// A `Gateway` is one node.
+/// A `Gateway` is the shared state of a node.
 pub struct Gateway {
     /// Its settings.
     pub settings: Settings,
-    /// This life of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// The platform.
     pub platform: Platform,
-    /// The configuration in force; none before one is known.
+    /// The active configuration; none before one is known.
     pub table: ArcSwapOption<RouteTable>,
-    /// How far it is on its way to the stop.
+    /// The stage of its shutdown.
     pub phase: watch::Sender<Phase>,
     state: Mutex<State>,
-    /// The time of day at the stamp 0, as it was at the start.
+    /// The wall clock at the monotonic clock's zero, as of the start.
     day_offset: Duration,
 }
 
 impl Gateway {
-    /// Returns a node that knows nothing yet.
+    /// Returns a node without a configuration and without other nodes.
     pub fn new(settings: Settings, platform: Platform) -> Gateway {
         let day = clock::wall_clock();
         let started = u64::try_from(day.as_millis()).unwrap_or(u64::MAX);
@@ -174,17 +174,17 @@
             table: ArcSwapOption::empty(),
             phase: watch::Sender::new(Phase::Serving),
             state: Mutex::new(state),
-            // The time of day may jump while the node runs; the steady clock does not.
+            // The wall clock may jump while the node runs; the monotonic clock does not.
             day_offset: day.saturating_sub(clock::now().since(Stamp(0))),
         }
     }
 
-    /// Acts on the state.
+    /// Calls `act` with exclusive access to the state.
     pub fn with<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
         act(&mut self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
     }
 
-    /// Returns what other nodes have to know of this one.
+    /// Returns the record of this node for other nodes.
     pub fn record(&self) -> MemberRecord {
         let ports = &self.settings.ports;
         MemberRecord {
@@ -195,33 +195,33 @@
         }
     }
 
-    /// Returns the revision in force; 0 before one is known.
+    /// Returns the active revision; 0 before one is known.
     pub fn revision(&self) -> Revision {
         self.table.load().as_ref().map_or(Revision(0), |table| table.revision)
     }
 
-    /// Returns the phase.
+    /// Returns the stage of the shutdown.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Returns the usage window of this moment.
+    /// Returns the current usage window.
     pub fn window(&self) -> Window {
         Window::at(self.day(), self.settings.bounds.usage_window.into())
     }
 
-    /// Returns how much of the window of this moment has passed.
+    /// Returns the time since the start of the current usage window.
     pub fn into_window(&self) -> Duration {
         let length = Duration::from(self.settings.bounds.usage_window).as_millis().max(1);
         Duration::from_millis(u64::try_from(self.day().as_millis() % length).unwrap_or(0))
     }
 
-    /// Returns this node's time of day as it was at its start, gone on by a steady clock.
+    /// Returns this node's wall clock at its start, advanced by a monotonic clock.
     pub fn own_day(&self) -> Duration {
         self.day_offset + clock::now().since(Stamp(0))
     }
 
-    // The time of day that most nodes agree on.
+    // The wall clock corrected by the offsets of the other nodes, so that most nodes agree on it.
     fn day(&self) -> Duration {
         let ahead = self.with(|state| correction(state.members.days_ahead()));
         let shift = Duration::from_millis(ahead.unsigned_abs());
@@ -229,23 +229,23 @@
         if ahead < 0 { own.saturating_sub(shift) } else { own + shift }
     }
 
-    /// Returns whether a key known here may still be used.
+    /// Returns whether the configuration is recent enough to accept its keys.
     pub fn may_use_keys(&self) -> bool {
         let bound = Duration::from(self.settings.bounds.revocation);
         let limit = bound.saturating_sub(REVOCATION_MARGIN);
         self.with(|state| state.freshness.is_within(clock::now(), limit))
     }
 
-    /// Returns whether what the configuration lacks may be taken as not there.
+    /// Returns whether the configuration is recent enough to reject unknown routes and keys.
     pub fn is_certain(&self) -> bool {
         self.with(|state| state.freshness.is_within(clock::now(), DOUBTFUL_AGE))
     }
 
-    /// Returns whether a newer configuration has been known of for so long that the one in force may not
-    /// be used any more.
+    /// Returns whether a newer configuration has been announced for so long that the active one may not be
+    /// used any more.
     ///
-    /// A node whose link is too slow, or that can't read the newer one, would otherwise go on with routes
-    /// that were dropped. As long as nobody has a newer one, nodes go on with what they have.
+    /// A node whose link is too slow, or that can't parse the newer one, would otherwise keep serving
+    /// removed routes. As long as no node has a newer configuration, the active one remains valid.
     pub fn is_outdated(&self) -> bool {
         let own = self.revision();
         let limit = Duration::from(self.settings.bounds.config_apply);
@@ -261,7 +261,7 @@
         self.phase() == Phase::Serving && usable && !self.is_outdated()
     }
 
-    /// Returns by how much teams may exceed their limits.
+    /// Returns the amounts by which teams may exceed their limits.
     pub fn quota_slack(&self) -> QuotaSlack {
         let bounds = &self.settings.bounds;
         QuotaSlack {
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Returns the limit on repeats.
+    /// Returns the limit on retries.
     pub fn repeat_limit(&self) -> RepeatLimit {
         let bounds = &self.settings.bounds;
         RepeatLimit {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! Serving of routes: the way of a request from a caller to a backend server, for platforms whose
-//! callers, backend servers and operators speak a dialect of their own.
+//! Serving of routes: the path of a request from a caller to a backend server, for platforms that have
+//! their own protocols for callers, backend servers and operators.
 
 pub mod adapter;
 pub mod backends;
--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -1,4 +1,4 @@
-//! What a node that serves routes counts and measures.
+//! The metrics of a node that serves routes.
 
 use std::time::Duration;
 
@@ -7,37 +7,37 @@
 use bulrushhall_external::CallFault;
 use metrics::{counter, gauge, histogram};
 
-/// Callers' requests by how they ended.
+/// Callers' requests by their outcome.
 const REQUESTS: &str = "bulrush_route_requests_total";
-/// The time from a request to the end of its answer.
+/// The time from a request to the end of its response.
 const REQUEST_SECONDS: &str = "bulrush_route_request_seconds";
-/// The time from a request to the first token, or the answer of a plain service.
+/// The time from a request to the first token, or to the response of a plain service.
 const FIRST_SECONDS: &str = "bulrush_route_first_seconds";
-/// Sends that ended without an answer that may be passed on.
+/// Attempts that got no response that may be forwarded.
 const SENDS_FAILED: &str = "bulrush_route_sends_failed_total";
-/// Services of the platform that stopped to answer.
+/// Outages of the platform's services.
 const DEPENDENCIES_LOST: &str = "bulrush_route_dependencies_lost_total";
-/// The revision in force.
+/// The active revision.
 const REVISION: &str = "bulrush_route_revision";
-/// Nodes that this one knows, and that it hears.
+/// The known nodes, and those of them that are alive.
 const MEMBERS: &str = "bulrush_route_members";
-/// The node's part in passing on news.
+/// The node's role in gossip.
 const ROLE: &str = "bulrush_route_role";
-/// What other nodes told that was not taken in.
+/// Received digests that were not applied.
 const DIGESTS_IGNORED: &str = "bulrush_route_digests_ignored_total";
-/// Configurations that were read from other nodes.
+/// Configurations that were fetched from other nodes.
 const DOCUMENTS_READ: &str = "bulrush_route_documents_read_total";
 /// Whether the node holds the duties.
 const DUTIES: &str = "bulrush_route_duties_held";
 
-/// A `RouteMetric` is one metric as the page of metrics has it.
+/// A `RouteMetric` is the description of one metric, as in the documentation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteMetric {
-    /// The name under which monitoring finds it.
+    /// Its name.
     pub name: &'static str,
-    /// How its value moves: `counter`, `gauge` or `histogram`.
+    /// Its type: `counter`, `gauge` or `histogram`.
     pub kind: &'static str,
-    /// Its labels, whose values are of fixed sets.
+    /// Its labels, each of which has a fixed set of values.
     pub labels: &'static str,
 }
 
@@ -71,29 +71,29 @@
     }
 }
 
-/// Counts a send that ended without an answer that may be passed on.
+/// Counts an attempt that got no response that may be forwarded.
 pub fn send_failed(fault: &'static str) {
     counter!(SENDS_FAILED, "fault" => fault).increment(1);
 }
 
-/// Counts a service of the platform that stopped to answer, by what was asked of it.
+/// Counts an outage of a service of the platform, by the prefix of the keys that were requested.
 pub fn dependency_lost(prefix: &'static str) {
     counter!(DEPENDENCIES_LOST, "prefix" => prefix).increment(1);
 }
 
-/// Sets the revision in force.
+/// Sets the active revision.
 pub fn revision(revision: u64) {
-    // Revisions stay far below the size from which a float can't hold them.
+    // Revisions stay far below the numbers that a float can't represent exactly.
     gauge!(REVISION).set(revision as f64);
 }
 
-/// Sets the nodes that this one knows, itself included, and those of the others that it hears.
+/// Sets the number of known nodes, including this one, and of the other nodes that are alive.
 pub fn members(known: usize, heard: usize) {
     gauge!(MEMBERS, "state" => "known").set(known as f64);
     gauge!(MEMBERS, "state" => "heard").set(heard as f64);
 }
 
-/// Sets the node's part in passing on news.
+/// Sets the node's role in gossip.
 pub fn role(role: Role) {
     for (word, of_word) in [("flat", Role::Flat), ("member", Role::Member), ("relay", Role::Relay)]
     {
@@ -101,12 +101,12 @@
     }
 }
 
-/// Counts what another node told and was not taken in.
+/// Counts a received digest that was not applied.
 pub fn digest_ignored(reason: &'static str) {
     counter!(DIGESTS_IGNORED, "reason" => reason).increment(1);
 }
 
-/// Counts a configuration that was read from another node, by what it failed with, if it did.
+/// Counts a fetch of a configuration from another node, by its fault if it failed.
 pub fn document_read(fault: Option<&CallFault>) {
     let outcome = match fault {
         None => "read",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: its ports, what it follows, and its stop.
+//! Start and shutdown of a node.
 
 use std::{fmt, io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,17 +15,17 @@
     settings::Settings,
 };
 
-/// How long a node that was told to stop still takes requests: other nodes no longer name it within
-/// half a second, and callers ask anew every two.
+/// How long a node still accepts requests after its shutdown begins: other nodes stop giving out its
+/// address within half a second, and callers refresh addresses every two seconds.
 const LEAVING_FOR: Duration = Duration::from_millis(2_200);
-/// What is left of the grace when the node gives up what has not ended.
+/// The part of the grace period that remains when the node aborts unfinished requests.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
 
-/// The most connections of callers: half of the descriptors that the smallest VM of the early users
-/// has; the rest is for backend servers.
+/// The maximum number of connections on a port: half of the file descriptors of the smallest supported VM;
+/// the rest is for connections to backend servers.
 const CONNECTIONS: usize = 2_000;
 
-/// A `NodeError` tells why a node could not start.
+/// A `NodeError` is the reason why a node could not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeError {
     /// A port could not be opened.
@@ -52,7 +52,7 @@
 }
 
 impl Node {
-    /// Opens the ports and begins to serve.
+    /// Opens the ports and starts to serve.
     pub fn start(settings: Settings, platform: Platform) -> Result<Node, Report<NodeError>> {
         let gateway = Arc::new(Gateway::new(settings, platform));
         let stop = watch::Sender::new(false);
@@ -64,7 +64,7 @@
             (ports.readiness, Arc::new(ReadinessPort::new(Arc::clone(&gateway)))),
             (ports.peers, Arc::new(PeerPort::new(Arc::clone(&gateway)))),
         ];
-        // These answer until the process ends: a node that stops still tells what it knows.
+        // These ports stay open until the process ends: a node that is stopping still takes part in gossip.
         let running = watch::Sender::new(false);
         let mut tasks = Vec::new();
         for (address, handler) in others {
@@ -86,12 +86,12 @@
         Ok(Node { gateway, stop, _running: running, callers, tasks })
     }
 
-    /// Returns what every part of the node reaches.
+    /// Returns the shared state of the node.
     pub fn gateway(&self) -> &Arc<Gateway> {
         &self.gateway
     }
 
-    /// Stops: out of the addresses first, then no new requests, then the end of those open.
+    /// Stops the node: withdraws its address, then stops accepting requests, then drains those in flight.
     pub async fn stop(self) {
         let node = &self.gateway.settings.gateway.name;
         tracing::info!(event = Event::NodeLeaving.number(), %node);
--- a/crates/gateway/src/observed.rs
+++ b/crates/gateway/src/observed.rs
@@ -1,12 +1,12 @@
-//! What a node has learnt of the backend servers of one service.
+//! The latencies that a node has observed at the backend servers of one service.
 
 use bulrushhall_policy::observed::{CallTimes, EngineSpeed};
 
-/// `Observed` is what a node has learnt of the backend servers of one service.
+/// `Observed` are the latencies that a node has observed at the backend servers of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Observed {
-    /// The speed of its engines.
+    /// The latency estimates of its engines.
     pub engines: EngineSpeed,
-    /// How long its calls take, where it is a plain service.
+    /// The call times, if it is a plain service.
     pub calls: CallTimes,
 }
--- a/crates/gateway/src/pipeline/attempt.rs
+++ b/crates/gateway/src/pipeline/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one backend server.
+//! One attempt to send a request to one backend server.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,10 +21,10 @@
     pipeline::{identify::Identified, occupancy::Occupancy, place::Place},
 };
 
-/// How much less time than is left a backend server is given: the way back to the caller.
+/// The part of the remaining time that is kept for the way of the response back to the caller.
 const WAY_BACK: Duration = Duration::from_millis(15);
 
-/// An `Original` is a caller's request as it came, for as many sends as it takes.
+/// An `Original` is a caller's request as it was received, kept for as many attempts as it takes.
 #[derive(Debug)]
 pub struct Original {
     /// The method.
@@ -35,29 +35,29 @@
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// When the caller and the route stop waiting.
+    /// When the caller's deadline or the route's timeout is reached.
     pub end: Stamp,
 }
 
-/// A `SendFault` tells how a send ended without an answer that may be passed on.
+/// A `SendFault` is the reason why an attempt got no response that may be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendFault {
     /// No connection could be opened.
     NotOpened(OpenError),
-    /// The backend server says that it did not run the request.
+    /// The backend server reports that it did not run the request.
     NotRun,
-    /// Another backend server has the address.
+    /// Another backend server listens at the address.
     OtherBackend,
-    /// No head of an answer came in time.
+    /// No response head arrived in time.
     Silent,
-    /// The connection ended before the head of an answer.
+    /// The connection was closed before a response head arrived.
     Closed,
-    /// What came answers another request, or nobody vouches for it.
+    /// The response belongs to another request, or does not carry the backend server's seal.
     Foreign,
 }
 
 impl SendFault {
-    /// Returns the word for it in logs and metrics.
+    /// Returns its label in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             SendFault::NotOpened(OpenError::Unreachable) => "unreachable",
@@ -71,39 +71,39 @@
     }
 }
 
-/// A `SendFailed` is a send that ended without an answer that may be passed on.
+/// A `SendFailed` is an attempt that got no response that may be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendFailed {
-    /// How it ended.
+    /// The reason.
     pub fault: SendFault,
     /// Whether the request may have run.
     pub ran: Ran,
 }
 
-/// An `Answering` is an answer whose head is there.
+/// An `Answering` is a backend server's response whose head has arrived.
 pub struct Answering {
-    /// What the head says.
+    /// The platform-independent view of the head.
     pub head: ResponseHead,
     /// The head.
     pub parts: response::Parts,
-    /// What follows it.
+    /// The body.
     pub body: Incoming,
-    /// The connection that it comes by.
+    /// The connection that carries it.
     pub connection: Connection,
-    /// What the request takes up.
+    /// The in-flight count of the request.
     pub occupancy: Occupancy,
-    /// Where it was sent.
+    /// The backend server that sends it.
     pub place: Place,
 }
 
 impl Original {
-    /// Returns a caller's request with its whole body.
+    /// Returns a caller's request with its complete body.
     pub fn new(head: request::Parts, body: Bytes, end: Stamp) -> Original {
         Original { method: head.method, uri: head.uri, headers: head.headers, body, end }
     }
 }
 
-/// Sends a request and waits for the head of the answer, at most for `silence`.
+/// Sends a request and waits for the head of the response, for at most `silence`.
 pub async fn attempt(
     gateway: &Arc<Gateway>,
     req: &Identified,
@@ -132,7 +132,7 @@
     }
 }
 
-/// Notes how a call of a backend server ended.
+/// Records in the circuit breaker of a backend server whether a call succeeded.
 pub fn note_outcome(gateway: &Gateway, place: &Place, good: bool) {
     let now = clock::now();
     let doubted = gateway.with(|state| {
@@ -162,13 +162,13 @@
         let mut connection = taken.map_err(|error| not_run(SendFault::NotOpened(error)))?;
         let sending = connection.sender.try_send_request(outgoing);
         let Ok(sent) = timeout(silence, sending).await else {
-            // Other connections to a server that went silent are mostly silent too.
+            // When a server stops responding, its other connections are usually affected too.
             place.pool.close_idle();
             return Err(unknown(SendFault::Silent));
         };
         match sent {
             Ok(response) => return Ok((response, connection)),
-            // A kept connection was closed before anything was written to it.
+            // A pooled connection may have been closed before anything was written to it.
             Err(mut error) => match error.take_message() {
                 Some(unsent) if connection.reused => outgoing = unsent,
                 Some(_) => return Err(not_run(SendFault::Closed)),
@@ -202,8 +202,8 @@
     Ok(outgoing)
 }
 
-// A late answer to an earlier request may come first on a kept connection. Passed on, a caller would
-// read what is meant for another.
+// A late response to an earlier request may arrive first on a pooled connection. If it were forwarded,
+// a caller would read a response that is meant for another.
 fn judge(req: &Identified, head: &ResponseHead) -> Result<(), SendFailed> {
     let own = head.id.as_deref() == Some(req.call.id.as_str());
     if head.id.is_some() && !own {
--- a/crates/gateway/src/pipeline/events.rs
+++ b/crates/gateway/src/pipeline/events.rs
@@ -1,25 +1,25 @@
-//! Cutting a stream into whole events with their numbers.
+//! Splitting of an event stream into complete events with their ids.
 
 use bytes::{Bytes, BytesMut};
 
-/// The largest event, in bytes; a stream without an end of an event must not fill the memory.
+/// The maximum size of an event, in bytes: a stream whose event never ends must not exhaust memory.
 const EVENT_MOST: usize = 1 << 20;
 
-/// A `Split` is a run of whole events.
+/// A `Split` is a run of complete events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Split {
     /// Their bytes.
     pub bytes: Bytes,
-    /// The number of the last of them that has one.
+    /// The id of the last of them that has one.
     pub last: Option<u64>,
-    /// How many they are.
+    /// The number of events.
     pub events: u32,
 }
 
-/// An `EventSplitter` holds back the part of a stream whose event has not ended.
+/// An `EventSplitter` holds back the incomplete event at the end of a stream.
 ///
-/// A backend server that dies in the middle of an event has sent a part of it. Passed on, that part
-/// would be joined with the first event of the server where the stream goes on, and the caller
+/// A backend server may fail in the middle of an event. If the incomplete event were forwarded, the
+/// first event of the server at which the stream is resumed would be appended to it, and the caller
 /// would read one event made of two.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
@@ -29,12 +29,12 @@
 }
 
 impl EventSplitter {
-    /// Returns a splitter that leaves out the events up to the number `after`.
+    /// Returns a splitter that skips the events up to the id `after`.
     pub fn after(after: Option<u64>) -> EventSplitter {
         EventSplitter { skip_to: after, ..EventSplitter::default() }
     }
 
-    /// Adds bytes of the stream; returns the whole events that are there now, if there are any.
+    /// Adds bytes of the stream; returns the events that are complete now, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Split> {
         self.pending.extend_from_slice(bytes);
         let (end, events) = self.end()?;
@@ -49,17 +49,17 @@
         (!kept.is_empty()).then_some(Split { bytes: kept, last, events })
     }
 
-    /// Returns whether an event has begun and not ended.
+    /// Returns whether the stream ends within an event.
     pub fn is_within(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Returns whether the event that has begun is larger than any may be.
+    /// Returns whether the incomplete event exceeds the maximum size.
     pub fn is_overfull(&self) -> bool {
         EVENT_MOST < self.pending.len()
     }
 
-    // Returns the end of the last whole event, after its empty line, and how many there are.
+    // Returns the end of the last complete event, after its empty line, and the number of events.
     fn end(&mut self) -> Option<(usize, u32)> {
         let from = self.searched.saturating_sub(3);
         self.searched = self.pending.len();
@@ -89,7 +89,7 @@
     events.rsplit(|byte| *byte == b'\n').find_map(number)
 }
 
-// Leaves out the leading events whose numbers are not above `after`.
+// Skips the leading events whose ids are not above `after`.
 fn skip(events: &Bytes, after: u64) -> Bytes {
     let mut start = 0;
     let mut known = None;
--- a/crates/gateway/src/pipeline/failure.rs
+++ b/crates/gateway/src/pipeline/failure.rs
@@ -1,4 +1,4 @@
-//! Why a request ends without a backend server's answer, and what its caller is told.
+//! Why a request ends without a backend server's response, and the response that its caller gets instead.
 
 use std::time::Duration;
 
@@ -7,47 +7,47 @@
 
 use crate::adapter::{CallProblem, Refusal};
 
-/// How long a caller is told to wait where nothing tells when it may be better.
+/// The retry delay that a caller is given when nothing indicates when a retry may succeed.
 const AFTER_UNKNOWN: Duration = Duration::from_millis(500);
-/// How long a caller is told to wait who came to a node on its way to the stop: the next node takes
-/// it at once.
+/// The retry delay that a caller is given by a node that is shutting down: another node takes the
+/// request at once.
 const AFTER_LEAVING: Duration = Duration::from_millis(50);
 
-/// A `Failure` is the reason.
+/// A `Failure` is the reason why a request ends without a backend server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The head could not be understood.
+    /// The head is malformed.
     Malformed(CallProblem),
     /// The head is larger than allowed.
     HeadTooLarge,
     /// The body is larger than allowed.
     TooLarge,
-    /// The body did not arrive.
+    /// The connection was closed before the whole body arrived.
     BodyLost,
-    /// No configuration is known yet, or it may be too old for this request.
+    /// No configuration is known yet, or the known one may be too old for this request.
     ConfigUnknown,
-    /// No route takes it.
+    /// No route matches it.
     NoRoute,
     /// No team has its key.
     UnknownKey,
-    /// Its team is over its limit for so long.
+    /// Its team is over its limit; a retry may succeed after this time.
     OverQuota(Duration),
-    /// The wait would be too long; it would be shorter after so long.
+    /// The queueing time would be too long; a retry may succeed after this time.
     Overloaded(Duration),
-    /// No backend server takes work.
+    /// No backend server accepts work.
     NoBackend,
-    /// The node is on its way to the stop.
+    /// The node is shutting down.
     Leaving,
-    /// Each backend server that got it says that it did not run it, and no more may get it.
+    /// No backend server that got it ran it, and it may not be sent to another one.
     Rejected,
-    /// A backend server may have run it, and its answer is lost.
+    /// A backend server may have run it, and its response is lost.
     Lost,
-    /// The time is over.
+    /// The deadline has passed.
     Late(Ran),
 }
 
 impl Failure {
-    /// Returns the word for it in logs.
+    /// Returns its label in logs.
     pub fn word(self) -> &'static str {
         match self {
             Failure::Malformed(_) => "malformed",
@@ -67,11 +67,11 @@
         }
     }
 
-    /// Returns what the caller is told.
+    /// Returns the response that the caller gets.
     ///
-    /// The statuses 408, 421, 429 and 503 promise that the request was not run and never will be;
-    /// a caller sends an order again after them. Where anything was sent that is not known to have
-    /// been refused, the answer is one that promises nothing.
+    /// The statuses 408, 421, 429 and 503 guarantee that the request was not run and never will be, so
+    /// a caller repeats even a non-idempotent request after them. If it was sent to a backend server
+    /// that is not known to have refused it, the status is one without this guarantee.
     pub fn refusal(self) -> Refusal {
         let (status, after) = match self {
             Failure::Malformed(_) => (StatusCode::BAD_REQUEST, None),
--- a/crates/gateway/src/pipeline/identify.rs
+++ b/crates/gateway/src/pipeline/identify.rs
@@ -1,4 +1,4 @@
-//! Who asks, and by which route.
+//! Identification of the caller's team and of the route.
 
 use std::sync::Arc;
 
@@ -11,15 +11,15 @@
     table::{Route, RouteTable, TeamEntry},
 };
 
-/// The bytes of a header besides its name and value.
+/// The bytes of a header line besides the name and the value: colon, space and line end.
 const HEADER_EXTRA: usize = 4;
 
-/// An `Identified` request has a route and, where that asks for one, a team.
+/// An `Identified` request has a route and, if that route needs one, a team.
 #[derive(Clone, Debug)]
 pub struct Identified {
-    /// What the caller asks for.
+    /// What the caller requests.
     pub call: Arc<Call>,
-    /// The configuration that it is handled by.
+    /// The configuration under which it is handled.
     pub table: Arc<RouteTable>,
     /// The route.
     pub route: Arc<Route>,
@@ -28,14 +28,14 @@
 }
 
 impl Identified {
-    /// Returns the rank of urgency, 0 being the first.
+    /// Returns the priority, 0 being the most urgent.
     pub fn rank(&self) -> u8 {
         let of_team = self.team.as_ref().and_then(|team| team.priority);
         of_team.unwrap_or(self.route.cfg.priority).min(9)
     }
 }
 
-/// Identifies a request.
+/// Returns a request with its route and team.
 pub fn identify(gateway: &Gateway, head: &request::Parts) -> Result<Identified, Failure> {
     let call = gateway.platform.wire.read_call(head).map_err(Failure::Malformed)?;
     let table = gateway.table.load_full().ok_or(Failure::ConfigUnknown)?;
@@ -46,7 +46,7 @@
         return Err(Failure::ConfigUnknown);
     }
     let Some(route) = table.route(&call.host, head.uri.path()).cloned() else {
-        // The route may be in a newer configuration that this node could not learn.
+        // The route may be in a newer configuration that this node did not receive.
         return Err(if gateway.is_certain() { Failure::NoRoute } else { Failure::ConfigUnknown });
     };
     let mut team = None;
@@ -56,7 +56,7 @@
             let certain = gateway.is_certain();
             return Err(if certain { Failure::UnknownKey } else { Failure::ConfigUnknown });
         }
-        // The key may have been taken away in a newer configuration.
+        // The key may have been revoked in a newer configuration.
         if !gateway.may_use_keys() {
             return Err(Failure::ConfigUnknown);
         }
@@ -64,7 +64,7 @@
     Ok(Identified { call: Arc::new(call), table, route, team })
 }
 
-// The bytes of a head as they are sent: each header has a colon, a space and the end of its line.
+// The size of a head on the wire.
 fn head_bytes(head: &request::Parts) -> usize {
     let headers = head.headers.iter();
     let headers: usize =
--- a/crates/gateway/src/pipeline/mod.rs
+++ b/crates/gateway/src/pipeline/mod.rs
@@ -1,4 +1,4 @@
-//! The way of a request: identify, route, admit, place, attempt, relay, settle.
+//! The stages of a request: identify, route, admit, place, attempt, forward the response, log.
 
 mod attempt;
 mod events;
--- a/crates/gateway/src/pipeline/occupancy.rs
+++ b/crates/gateway/src/pipeline/occupancy.rs
@@ -1,4 +1,4 @@
-//! What a request takes up at a backend server, from the send to the end of its answer.
+//! Accounting of in-flight requests at a backend server, from the send to the end of the response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,23 +10,23 @@
 
 use crate::{clock, gateway::Gateway};
 
-/// A `Footprint` is what a request takes up at a backend server.
+/// A `Footprint` is the resources that a request uses at a backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Footprint {
-    /// Its rank of urgency.
+    /// Its priority, 0 being the most urgent.
     pub rank: u8,
-    /// The prompt tokens that have to be read before its first token.
+    /// The prompt tokens that the engine has to prefill.
     pub to_read: u32,
-    /// The tokens in the engine's memory.
+    /// The tokens that it occupies in the engine's KV cache.
     pub held: u32,
-    /// The time until its first token that was expected, at an engine.
+    /// The expected time to the first token, at an engine.
     pub expected: Option<Duration>,
-    /// Whether nothing was there before it, and it is known what has to be read.
+    /// Whether it does not queue behind others and the number of tokens to prefill is known exactly.
     pub unqueued: bool,
 }
 
-/// An `Occupancy` counts a request at a backend server until it is dropped, whichever way the
-/// request ends.
+/// An `Occupancy` counts a request as in flight at a backend server until it is dropped, whichever way
+/// the request ends.
 pub struct Occupancy {
     gateway: Arc<Gateway>,
     key: WorkerKey,
@@ -36,7 +36,7 @@
 }
 
 impl Occupancy {
-    /// Counts a request that is sent now.
+    /// Counts a request that is about to be sent.
     pub fn begin(gateway: &Arc<Gateway>, key: WorkerKey, footprint: Footprint) -> Occupancy {
         gateway.with(|state| {
             let Some(backend) = state.backends.get_mut(key) else { return };
@@ -48,7 +48,7 @@
         Occupancy { gateway: Arc::clone(gateway), key, footprint, began: false, since }
     }
 
-    /// Notes the first token, or the answer of a plain service.
+    /// Notes the first token, or the response of a plain service.
     pub fn note_began(&mut self) {
         if self.began {
             return;
@@ -69,7 +69,7 @@
         });
     }
 
-    /// Notes that a stream ended well, whose events came `gap` apart.
+    /// Notes a complete stream whose events arrived `gap` apart.
     pub fn note_stream(&self, gap: Duration, events: u32, expected_tokens: u32) {
         let now = clock::now();
         self.gateway.with(|state| {
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Notes that a plain service has answered.
+    /// Notes the response of a plain service.
     pub fn note_call(&self) {
         let took = clock::now().since(self.since);
         self.gateway.with(|state| {
--- a/crates/gateway/src/pipeline/place.rs
+++ b/crates/gateway/src/pipeline/place.rs
@@ -1,4 +1,4 @@
-//! Where a request is sent, or that it is refused at once.
+//! Placement of a request on a backend server, or its immediate refusal.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -22,16 +22,16 @@
     table::{EngineSizes, ServiceEntry},
 };
 
-/// The one-way latency to another availability zone, for comparing servers: what the early users
-/// have between theirs.
+/// The one-way latency to another availability zone, for comparing servers: that of the deployments
+/// which this is built for.
 const OTHER_ZONE: Duration = Duration::from_millis(1);
 
-/// How old what other nodes told is, on average: half the time between two exchanges.
+/// The average age of what other nodes reported: half of the gossip interval.
 const NEWS_AGE: Duration = Duration::from_millis(130);
-/// The same where it has come through relays: half of that time for each of three ways.
+/// The average age of what relays passed on: half of the gossip interval for each of three hops.
 const RELAYED_NEWS_AGE: Duration = Duration::from_millis(320);
 
-/// A `Place` is a chosen backend server.
+/// A `Place` is the backend server that was chosen for an attempt.
 #[derive(Clone)]
 pub struct Place {
     /// The backend server.
@@ -40,34 +40,34 @@
     pub name: Arc<str>,
     /// Its connections.
     pub pool: Arc<Pool>,
-    /// The most connections that this node may have there.
+    /// The maximum number of connections from this node to it.
     pub connections: u32,
-    /// What the request takes up there.
+    /// The resources that the request uses there.
     pub footprint: Footprint,
-    /// The engine from whose memory it copies what it lacks of the prompt.
+    /// The engine from whose prefix cache it copies the parts of the prompt that it lacks.
     pub copy_from: Option<SocketAddr>,
-    /// The expected wait behind others.
+    /// The expected queueing time.
     pub wait: Duration,
-    /// The time that almost all calls take there, at a plain service.
+    /// The 95th percentile of the call times, at a plain service.
     pub long_call: Duration,
-    /// The backend servers that it was chosen from.
+    /// The number of backend servers that it was chosen from.
     pub candidates: usize,
 }
 
-/// A `Search` is what a backend server is looked for by.
+/// A `Search` is what the choice of a backend server is based on.
 #[derive(Clone, Copy)]
 pub struct Search<'a> {
     /// The request.
     pub req: &'a Identified,
     /// The service that it goes to.
     pub service: &'a ServiceName,
-    /// The backend servers that got it already.
+    /// The backend servers that it was sent to already.
     pub tried: &'a [WorkerKey],
-    /// The time that is left.
+    /// The time until its deadline.
     pub left: Duration,
 }
 
-/// Chooses a backend server that did not get the request yet, or refuses.
+/// Chooses a backend server that the request was not sent to yet, or refuses the request.
 pub fn place(gateway: &Gateway, search: Search<'_>) -> Result<Place, Failure> {
     let entry = search.req.table.services.get(search.service).ok_or(Failure::NoBackend)?;
     let zone = &gateway.settings.gateway.zone;
@@ -83,7 +83,7 @@
     })
 }
 
-/// A backend server as it was chosen.
+/// A choice of a backend server.
 struct Chosen {
     key: WorkerKey,
     wait: Duration,
@@ -132,7 +132,7 @@
         let mut random = rand::rng();
         let chosen = choose_engine(wanted, &views, &mut random).ok_or(Failure::NoBackend)?;
         if self.tried.is_empty() {
-            // What is refused is demand too: without it the fleet would never grow.
+            // A refused request counts as demand too: otherwise an overloaded fleet would never grow.
             let demand = state.demand.entry(self.service.clone()).or_default();
             let (read, answer) = (f64::from(chosen.to_read), f64::from(prompt.answer()));
             demand.note(now, Offered { read, answer });
@@ -147,14 +147,15 @@
             to_read: chosen.to_read,
             held: prompt.tokens + prompt.answer(),
             expected: Some(chosen.first_token),
-            // Of a prompt that is copied or guessed to be cached, what is read is not known.
+            // If a part of the prompt may be copied or is only assumed to be cached, it is not known
+            // how many tokens the engine prefills.
             unqueued: chosen.wait.is_zero() && chosen.to_read + chosen.cached == prompt.tokens,
         };
         let (key, wait, candidates) = (chosen.key, chosen.wait, views.len());
         Ok(Chosen { key, wait, footprint, copy_from, candidates })
     }
 
-    // What other nodes have sent since they told of their loads.
+    // The prompt tokens that other nodes have sent since they reported their loads.
     fn unseen_tokens(&self, state: &State) -> f64 {
         let told = state.members.iter().filter_map(|(_, member)| member.offered.get(self.service));
         let per_second: f64 = told.map(|offered| offered.read).sum();
@@ -162,7 +163,7 @@
         per_second * age.as_secs_f64()
     }
 
-    // The engines that keep enough of the prompt to be copied from; none where engines can't copy.
+    // The engines that cache enough of the prompt to be copied from; none if engines can't copy.
     fn sources(&self, state: &State, sizes: EngineSizes, prompt: &Prompt) -> Vec<SourceView> {
         let mut sources = Vec::new();
         if sizes.copied_per_ms <= 0.0 {
@@ -236,7 +237,7 @@
     }
 }
 
-// The address of the engine that the chosen one copies from.
+// The address of the engine from which the chosen one copies.
 fn copy_from(
     state: &State,
     chosen: EngineChoice,
@@ -256,8 +257,8 @@
     if backend.record.zone == *own { Duration::ZERO } else { OTHER_ZONE }
 }
 
-// What a backend server takes from all nodes is divided evenly, with one part kept free for a node
-// that this one does not know yet.
+// The connections that a backend server accepts are divided evenly among all nodes. One share is kept
+// free for a node that this one does not know yet.
 fn part_of(connections: u32, nodes: usize) -> u32 {
     let nodes = u32::try_from(nodes).unwrap_or(u32::MAX).saturating_add(1);
     (connections / nodes).max(2)
--- a/crates/gateway/src/pipeline/relay.rs
+++ b/crates/gateway/src/pipeline/relay.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on as it comes, and going on elsewhere where its server fails.
+//! Forwarding of a response as it arrives, and resumption at another backend server when its sender fails.
 
 use std::{error, fmt, sync::Arc, time::Duration};
 
@@ -24,26 +24,26 @@
     },
 };
 
-/// The longest pause in a stream that may go on elsewhere, in pauses of an answer in time; and at
-/// least [`STALL_LEAST`]. Callers give up after eight.
+/// The longest pause in a resumable stream, as a multiple of the route's target gap; it is at least
+/// [`STALL_LEAST`]. Callers give up after eight times the target gap.
 const STALL_GAPS: u32 = 4;
-/// The shortest pause after which a stream goes on elsewhere: an engine that reads a long prompt in
-/// between makes others wait for some hundred milliseconds.
+/// The shortest pause after which a stream is resumed at another engine: the prefill of a long prompt
+/// delays the other streams of its engine by some hundred milliseconds.
 const STALL_LEAST: Duration = Duration::from_millis(900);
 
-/// A `Relay` is an answer on its way to the caller.
+/// A `Relay` forwards a response to the caller.
 pub struct Relay {
     /// The node.
     pub gateway: Arc<Gateway>,
     /// The request.
     pub req: Identified,
-    /// The request as it came.
+    /// The request as it was received.
     pub original: Original,
-    /// The answer; none between a server that failed and the next one.
+    /// The response; none between a server that failed and the next one.
     pub answering: Option<Answering>,
-    /// The backend servers that got the request.
+    /// The backend servers that the request was sent to.
     pub tried: Vec<WorkerKey>,
-    /// What is told at the end.
+    /// The access log entry.
     pub trail: Trail,
     splitter: EventSplitter,
     gaps: StreamGaps,
@@ -51,20 +51,20 @@
     ended: bool,
 }
 
-/// A `RelayFault` tells why an answer was cut.
+/// A `RelayFault` is the reason why a response was cut short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayFault {
-    /// The backend server broke off.
+    /// The backend server failed, and the response could not be resumed.
     Broken,
-    /// The time of the route or of the caller is over.
+    /// The caller's deadline or the route's timeout was reached.
     Late,
 }
 
 impl fmt::Display for RelayFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RelayFault::Broken => "the backend server broke off",
-            RelayFault::Late => "the time is over",
+            RelayFault::Broken => "the backend server failed before the end of its response",
+            RelayFault::Late => "the deadline has passed",
         })
     }
 }
@@ -79,7 +79,7 @@
 }
 
 impl Relay {
-    /// Returns a relay of an answer whose head is there.
+    /// Returns a relay of a response whose head has arrived.
     pub fn new(
         gateway: Arc<Gateway>,
         req: Identified,
@@ -112,8 +112,8 @@
         StreamBody::new(frames).boxed_unsync()
     }
 
-    // An error ends the connection without the regular end of the body, so that a part of an answer
-    // is never taken for the whole.
+    // An error closes the connection without the regular end of the body, so that the caller never
+    // takes a partial response for a complete one.
     async fn next(&mut self) -> Option<Result<Bytes, BodyFault>> {
         if self.ended {
             return None;
@@ -127,7 +127,7 @@
             }
             match self.step().await {
                 Step::Frame(bytes) => {
-                    // Nobody asks for more after the last byte of a body of known length.
+                    // hyper does not poll again after the last byte of a body of known length.
                     if self.is_whole() {
                         self.finish();
                     }
@@ -152,7 +152,7 @@
         let frame = match frame {
             Some(Ok(frame)) => frame,
             Some(Err(_)) => return Step::Broken,
-            // An event that has begun belongs to a stream that was cut, however its body ended.
+            // A partial event at the end means that the stream was cut, even if the body ended regularly.
             None if self.splitter.is_within() => return Step::Broken,
             None => return Step::End,
         };
@@ -177,8 +177,8 @@
         ended && !self.splitter.is_within()
     }
 
-    // How long the next part may take. A server that went silent without a reset is left after this
-    // where the stream may go on elsewhere; silence is no reason to end any other answer.
+    // The time limit for the next frame. A server that stops sending without a reset is given up after
+    // it if the stream can be resumed; no other response is ended because of a pause.
     fn silence(&self) -> Duration {
         let left = self.original.end.since(clock::now());
         if !self.may_resume() {
@@ -206,8 +206,8 @@
         if !again(&self.gateway, &self.req, &service, &self.trail) {
             return false;
         }
-        // What took one engine mostly took others with it, and some of these are not known to be gone
-        // yet. Nothing was sent where no connection could be opened, so the next one is tried.
+        // Engines often fail together, and some of them are not known to be dead yet. If no connection
+        // could be opened, nothing was sent, so the next engine is tried.
         for _ in 0..UNOPENED_MOST {
             match self.resume_at_next(&service).await {
                 Ok(answering) => {
@@ -225,7 +225,7 @@
     async fn resume_at_next(&mut self, service: &ServiceName) -> Result<Answering, SendFault> {
         let left = self.original.end.since(clock::now());
         let search = Search { req: &self.req, service, tried: &self.tried, left };
-        // Where no engine is left, nobody runs it.
+        // Without a backend server the request is not run again.
         let placed = place(&self.gateway, search).map_err(|_| SendFault::NotRun)?;
         self.tried.push(placed.key);
         self.trail.placed(&placed);
@@ -238,7 +238,7 @@
         let sent =
             attempt(&self.gateway, &self.req, &self.original, &placed, self.last, left).await;
         let answering = sent.map_err(|failed| failed.fault)?;
-        // A failure can't follow the events that the caller has.
+        // An error response can't follow the events that the caller already has.
         if answering.head.status.is_success() { Ok(answering) } else { Err(SendFault::Foreign) }
     }
 
@@ -258,7 +258,7 @@
         }
     }
 
-    // A stream that went on elsewhere was written by two engines and tells of neither.
+    // The gaps of a resumed stream come from two engines, so they are no sample of either.
     fn note_gaps(&self) {
         let (Some(answering), 1) = (&self.answering, self.trail.sends) else { return };
         let Some(prompt) = &self.req.call.prompt else { return };
--- a/crates/gateway/src/pipeline/serve.rs
+++ b/crates/gateway/src/pipeline/serve.rs
@@ -1,4 +1,4 @@
-//! The whole way of one request.
+//! Handling of one request from its arrival to the start of the response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -28,22 +28,21 @@
     table::QuotaUnit,
 };
 
-/// How much sooner than the caller's deadline an answer is due: the way to the caller.
+/// The part of the caller's deadline that is kept for the way of the response to the caller.
 const WAY_TO_CALLER: Duration = Duration::from_millis(20);
-/// After how many times what almost all calls of a service take an idempotent call is sent again: a
-/// call that is merely slow is not worth a second one.
+/// The time after which an idempotent call is sent to another server, as a multiple of the service's
+/// 95th percentile: a call that is merely slow is not worth a second one.
 const SILENT_TIMES: u32 = 2;
-/// The shortest such silence: a node may stand still that long without anything being wrong.
+/// The minimum of this time: a healthy node may stall that long.
 const SILENCE_LEAST: Duration = Duration::from_millis(100);
-/// The longest, as a part of the time that is left: the second send needs its time too.
+/// The maximum of this time is the remaining time divided by this: the second attempt needs time too.
 const SILENCE_SHARE: u32 = 3;
-/// The shortest silence of an engine after which a stream that may be resumed is sent elsewhere, on
-/// top of what its first token was expected to take.
+/// The time beyond the expected first token after which a resumable stream is sent to another engine.
 const ENGINE_SILENCE: Duration = Duration::from_millis(1_500);
-/// Connections that could not be opened, after which a request is given up.
+/// The number of failed connection attempts after which a request is given up.
 pub const UNOPENED_MOST: usize = 4;
 
-/// Serves one request of a caller.
+/// Returns the response to a caller's request.
 pub async fn serve(gateway: Arc<Gateway>, req: Request<Incoming>) -> Response<Body> {
     let started = clock::now();
     let mut trail = Trail::begin(Arc::clone(&gateway), started);
@@ -64,12 +63,13 @@
     answer
 }
 
-/// Returns a hash that draws the service of a request; all its sends go to the same service.
+/// Returns the hash by which the traffic split chooses the service of a request; all its attempts go to
+/// the same service.
 pub fn hash_of(req: &Identified) -> u64 {
     xxh3_64(req.call.id.as_bytes())
 }
 
-/// An answer and the backend servers that got the request.
+/// A response and the backend servers that the request was sent to.
 type Sent = (Answering, Vec<WorkerKey>);
 type Answered = (Original, Identified, Answering, Vec<WorkerKey>);
 
@@ -106,7 +106,7 @@
     let sent = send_until(gateway, &req, &original, &service, sends, trail).await;
     match (sent, failed_answer) {
         (Ok((answering, tried)), _) => Ok((original, req, answering, tried)),
-        // A server's own failure that could not be replaced is still its answer.
+        // An error response of a backend server is forwarded if no retry replaced it.
         (Err(_), Some((answering, tried))) => Ok((original, req, answering, tried)),
         (Err(failure), None) => {
             if attempts.ran() == Ran::No {
@@ -197,7 +197,7 @@
         };
         attempts.end(failed.ran);
         if matches!(failed.fault, SendFault::NotOpened(_)) {
-            // Nothing reached a backend server, so nothing counts as sent.
+            // Nothing reached a backend server, so this does not count as an attempt.
             trail.unsent();
             unopened += 1;
             if unopened < UNOPENED_MOST {
@@ -215,7 +215,7 @@
     }
 }
 
-/// Returns whether a request may be sent once more, and pays for it.
+/// Returns whether a request may be retried, and takes the retry from the retry budget.
 pub fn again(gateway: &Gateway, req: &Identified, service: &ServiceName, trail: &Trail) -> bool {
     if req.route.cfg.attempts <= trail.sends {
         return false;
@@ -237,7 +237,7 @@
     paid
 }
 
-// A refusal promises that nothing ran; where something may have, the answer has to say so.
+// A refusal guarantees that the request was not run. If it may have been, the failure says so.
 fn honest(failure: Failure, attempts: &Attempts) -> Failure {
     if attempts.ran() == Ran::No { failure } else { Failure::Lost }
 }
@@ -279,7 +279,7 @@
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
     if is_stream {
-        // A stream that goes on elsewhere need not be as long as the first server meant it to be.
+        // The length of a stream may change when it is resumed at another server.
         answer.headers_mut().remove(CONTENT_LENGTH);
     }
     answer
--- a/crates/gateway/src/pipeline/settle.rs
+++ b/crates/gateway/src/pipeline/settle.rs
@@ -1,4 +1,4 @@
-//! The end of a request: what is counted and the line that tells of it.
+//! The end of a request: its metrics and its line in the log.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,25 +11,25 @@
     pipeline::{Failure, identify::Identified, place::Place},
 };
 
-/// A `Trail` is what is told of a request once it has ended, whichever way it ends.
+/// A `Trail` collects the values of a request's access log entry, which is written on drop.
 pub struct Trail {
     gateway: Arc<Gateway>,
     req: Option<Identified>,
     started: Stamp,
     first_at: Option<Stamp>,
-    /// The sends so far.
+    /// The number of attempts so far.
     pub sends: u32,
     placed: Option<Place>,
-    /// What it counts against its team's limit.
+    /// The amount that is counted against its team's limit.
     pub counted: f64,
-    /// The status that the caller got.
+    /// The status of the response to the caller.
     pub status: u16,
     outcome: &'static str,
     after: Option<Duration>,
 }
 
 impl Trail {
-    /// Begins with a request that came at `started`.
+    /// Returns the entry of a request that arrived at `started`.
     pub fn begin(gateway: Arc<Gateway>, started: Stamp) -> Trail {
         Trail {
             gateway,
@@ -45,23 +45,23 @@
         }
     }
 
-    /// Notes who asks and by which route.
+    /// Notes the team and the route.
     pub fn identified(&mut self, req: &Identified) {
         self.req = Some(req.clone());
     }
 
-    /// Notes where it is sent next.
+    /// Notes an attempt and its backend server.
     pub fn placed(&mut self, place: &Place) {
         self.sends += 1;
         self.placed = Some(place.clone());
     }
 
-    /// Notes that the last send did not leave this node.
+    /// Notes that the last attempt did not leave this node.
     pub fn unsent(&mut self) {
         self.sends -= 1;
     }
 
-    /// Notes that a backend server began to work on it.
+    /// Notes the first token, or the response of a plain service.
     pub fn began(&mut self) {
         if self.first_at.is_some() {
             return;
@@ -74,17 +74,17 @@
         self.gateway.with(|state| state.usage.count(window, own, zone, &team.name));
     }
 
-    /// Notes that the answer is whole.
+    /// Notes that the response was forwarded completely.
     pub fn answered(&mut self) {
         self.outcome = "answered";
     }
 
-    /// Notes that the answer was cut.
+    /// Notes that the response was cut short.
     pub fn cut(&mut self) {
         self.outcome = "cut";
     }
 
-    /// Notes a failure of the system's own.
+    /// Notes that the request ends with a response of the node's own.
     pub fn failed(&mut self, failure: Failure) {
         self.outcome = failure.word();
         let refusal = failure.refusal();
@@ -93,7 +93,7 @@
     }
 }
 
-// A caller that leaves drops the answer at any point, so the end is told where the trail is dropped.
+// A caller that disconnects drops the response at any point, so the entry is written on drop.
 impl Drop for Trail {
     fn drop(&mut self) {
         let now = clock::now();
--- a/crates/gateway/src/pipeline/stream_gaps.rs
+++ b/crates/gateway/src/pipeline/stream_gaps.rs
@@ -1,17 +1,17 @@
-//! The times between the events of one stream.
+//! The gaps between the events of one stream.
 
 use std::time::Duration;
 
 use bulrushhall_core::Stamp;
 use bulrushhall_policy::observed::Recent;
 
-/// The gaps that are held of a stream: its last ones, when its engine was as full as it is told to be
-/// at the end.
+/// The number of gaps that are kept of a stream. These are its last ones: the sample is taken with the
+/// engine's load at the end of the stream.
 const HELD: usize = 16;
-/// The events from which a stream tells something: its first ones often come together.
+/// The minimum number of events of a sample: the first events often arrive together.
 const EVENTS_LEAST: u32 = 4;
 
-/// `StreamGaps` are the times between the events of one stream.
+/// `StreamGaps` are the gaps between the events of one stream.
 #[derive(Clone, Debug, Default)]
 pub struct StreamGaps {
     gaps: Recent<HELD>,
@@ -20,7 +20,7 @@
 }
 
 impl StreamGaps {
-    /// Notes that `events` arrived.
+    /// Notes the arrival of `events` events.
     pub fn note(&mut self, now: Stamp, events: u32) {
         self.events += events;
         if let Some(last_at) = self.last_at.replace(now)
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns the median gap and the number of events; none where they are too few.
+    /// Returns the median gap and the number of events; none if there are too few.
     pub fn measured(&self) -> Option<(Duration, u32)> {
         if self.events < EVENTS_LEAST {
             return None;
--- a/crates/gateway/src/ports/callers.rs
+++ b/crates/gateway/src/ports/callers.rs
@@ -1,4 +1,4 @@
-//! The port where callers' requests come in.
+//! The port for callers' requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
 
 use crate::{gateway::Gateway, pipeline::serve};
 
-/// A `CallerPort` serves callers' requests.
+/// A `CallerPort` handles callers' requests.
 pub struct CallerPort {
     gateway: Arc<Gateway>,
 }
@@ -27,8 +27,8 @@
         Box::pin(serve(Arc::clone(&self.gateway), req))
     }
 
-    // The same time bounds how long a connection may be idle, so the longer one holds: a caller may
-    // use a connection again that was idle for most of the idle time-out.
+    // The server uses one limit for the head and for an idle connection, so it is the longer of the two:
+    // a caller may reuse a connection that was idle for most of the idle timeout.
     fn head_timeout(&self) -> Option<Duration> {
         let limits = self.gateway.table.load().as_ref().map(|table| table.limits)?;
         Some(limits.idle_timeout.max(limits.head_timeout))
--- a/crates/gateway/src/ports/directory.rs
+++ b/crates/gateway/src/ports/directory.rs
@@ -1,4 +1,4 @@
-//! The port where callers ask which addresses to use.
+//! The port on which callers look up the addresses of the nodes.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::{clock, gateway::Gateway};
 
-/// A `DirectoryPort` names the addresses of the nodes that serve.
+/// A `DirectoryPort` returns the addresses of the nodes that serve.
 pub struct DirectoryPort {
     gateway: Arc<Gateway>,
 }
@@ -32,7 +32,8 @@
         if self.gateway.is_ready() {
             addresses.push(self.gateway.settings.ports.callers);
         }
-        // A caller reads no more than so many. Always the first ones, callers would find the others never.
+        // A caller reads only a limited number of addresses. They are sampled at random: if they were
+        // always the first ones, callers would never find the others.
         let most = self.gateway.settings.bounds.max_addresses;
         if most < addresses.len() {
             addresses = addresses.sample(&mut rand::rng(), most).copied().collect();
--- a/crates/gateway/src/ports/mod.rs
+++ b/crates/gateway/src/ports/mod.rs
@@ -1,4 +1,4 @@
-//! The ports for callers and the platform.
+//! The ports for callers and for the platform.
 
 mod callers;
 mod directory;
--- a/crates/gateway/src/ports/readiness.rs
+++ b/crates/gateway/src/ports/readiness.rs
@@ -1,4 +1,4 @@
-//! The port where the platform asks whether the node serves.
+//! The port of the platform's readiness check.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use crate::gateway::Gateway;
 
-/// A `ReadinessPort` answers 200 while the node serves.
+/// A `ReadinessPort` returns the status 200 while the node serves, and 503 otherwise.
 pub struct ReadinessPort {
     gateway: Arc<Gateway>,
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node that serves routes, as its INI file gives them.
+//! The settings of a node that serves routes, from its INI file.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,30 +14,30 @@
 
 /// The kinds of sections that a settings file may have.
 ///
-/// What is logged is read by the process that writes it.
+/// The section `log` is read by the process that writes the log.
 pub const SECTION_KINDS: [&str; 6] = ["gateway", "ports", "endpoints", "bounds", "fleet", "log"];
 
 /// The `Settings` of a node.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Who the node is.
+    /// The identity of the node.
     pub gateway: GatewaySettings,
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub ports: PortSettings,
-    /// Where the platform's services are.
+    /// The addresses of the platform's services.
     pub endpoints: EndpointSettings,
-    /// Within which times and shares it keeps its promises.
+    /// The bounds that the node guarantees.
     pub bounds: BoundSettings,
-    /// How many engines it orders for a demand.
+    /// The number of engines that it orders for a demand.
     pub fleet: FleetSettings,
 }
 
-/// `GatewaySettings` tell who the node is.
+/// `GatewaySettings` are the identity of the node.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// The name of the adapter of the platform.
+    /// The name of the platform's adapter.
     pub adapter: String,
     /// The node's name.
     pub name: NodeName,
@@ -48,23 +48,23 @@
     pub first_start: bool,
 }
 
-/// `PortSettings` tell where the node listens.
+/// `PortSettings` are the addresses on which the node listens.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PortSettings {
-    /// Where callers connect.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
-    /// Where callers ask which addresses to use.
+    /// The address on which callers look up the nodes.
     pub directory: SocketAddr,
-    /// Where the platform asks whether the node is ready.
+    /// The address of the platform's readiness check.
     pub readiness: SocketAddr,
-    /// Where other nodes connect.
+    /// The address for gossip with other nodes.
     pub peers: SocketAddr,
-    /// Where monitoring reads the metrics.
+    /// The address from which monitoring scrapes the metrics.
     pub metrics: Option<SocketAddr>,
 }
 
-/// `EndpointSettings` tell where the platform's services are.
+/// `EndpointSettings` are the addresses of the platform's services.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EndpointSettings {
@@ -74,58 +74,58 @@
     pub cloud: Option<SocketAddr>,
 }
 
-/// `BoundSettings` are the times and shares within which a deployment's promises are kept.
+/// `BoundSettings` are the times and rates that a deployment guarantees.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BoundSettings {
-    /// After which time a key that was taken away may not be used any more, on any node.
+    /// The time after which no node accepts a revoked key.
     #[serde_as(as = "DisplayFromStr")]
     pub revocation: humantime::Duration,
-    /// After which time a confirmed configuration is in force on all nodes.
+    /// The time after which a confirmed configuration is active on all nodes.
     #[serde_as(as = "DisplayFromStr")]
     pub config_apply: humantime::Duration,
-    /// How long the process may go on after it was told to stop.
+    /// The maximum time between the stop signal and the end of the process.
     #[serde_as(as = "DisplayFromStr")]
     pub grace: humantime::Duration,
-    /// The time within which two holders of a duty may not act by turns.
+    /// The time within which no two holders of a duty may act in turn.
     #[serde_as(as = "DisplayFromStr")]
     pub lease: humantime::Duration,
-    /// The length of a window of usage.
+    /// The length of a usage window.
     #[serde_as(as = "DisplayFromStr")]
     pub usage_window: humantime::Duration,
-    /// The time after its end within which a window is reported.
+    /// The time after its end within which a usage window is reported.
     #[serde_as(as = "DisplayFromStr")]
     pub usage_delay: humantime::Duration,
-    /// The repeats that a service may get for each request.
+    /// The number of retries that a service may get for each request.
     #[serde_as(as = "DisplayFromStr")]
     pub retry_ratio: f64,
-    /// The repeats that are free in a window, over all nodes.
+    /// The number of retries that are always allowed in a window, over all nodes.
     #[serde_as(as = "DisplayFromStr")]
     pub retry_headroom: f64,
-    /// The length of the window in which repeats are counted.
+    /// The length of the window in which retries are counted.
     #[serde_as(as = "DisplayFromStr")]
     pub retry_window: humantime::Duration,
-    /// The length of the window in which teams' limits are judged.
+    /// The length of the window in which teams' limits are checked.
     #[serde_as(as = "DisplayFromStr")]
     pub quota_window: humantime::Duration,
-    /// The part by which a team may exceed its limit in a window.
+    /// The fraction by which a team may exceed its limit in a window.
     #[serde_as(as = "DisplayFromStr")]
     pub quota_overage: f64,
-    /// The tokens that a team may take in a window besides.
+    /// The amount by which a team may exceed its limit in a window besides.
     #[serde_as(as = "DisplayFromStr")]
     pub quota_headroom: f64,
-    /// The longest time for which callers keep addresses.
+    /// The maximum time for which callers keep addresses.
     #[serde_as(as = "DisplayFromStr")]
     pub address_ttl: humantime::Duration,
-    /// The most addresses that a caller is told at once.
+    /// The maximum number of addresses in the response to a lookup.
     #[serde_as(as = "DisplayFromStr")]
     #[serde(rename = "addresses_most")]
     pub max_addresses: usize,
 }
 
 impl Settings {
-    /// Returns the settings that an INI text gives; the error holds every problem in it.
+    /// Returns the settings of an INI text; the error holds all problems in it.
     pub fn parse(file: &str, text: &str) -> Result<Settings> {
         let (sections, mut problems) = read_sections(file, text);
         problems.extend(unknown_sections(file, &sections, &SECTION_KINDS));
@@ -144,7 +144,7 @@
         Err(CoreError::Config(problems))
     }
 
-    /// Returns whether a settings file is one of a node that serves routes.
+    /// Returns whether a settings file is for a node that serves routes.
     pub fn is_gateway_file(text: &str) -> bool {
         text.lines().any(|line| line.trim() == "[gateway]")
     }
@@ -181,7 +181,7 @@
 }
 
 impl Default for BoundSettings {
-    // What both early users have agreed with their platform.
+    // The bounds that deployments agree with their platforms.
     fn default() -> Self {
         BoundSettings {
             revocation: Duration::from_secs(5).into(),
--- a/crates/gateway/src/table/limits.rs
+++ b/crates/gateway/src/table/limits.rs
@@ -1,22 +1,22 @@
-//! What a caller may send and how long it may take.
+//! Limits on the size and the duration of callers' requests.
 
 use std::time::Duration;
 
-/// `CallerLimits` bound one caller's connection.
+/// `CallerLimits` are the limits of one caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// The longest time for a head to arrive.
+    /// The timeout for a head to arrive.
     pub head_timeout: Duration,
-    /// The longest time that a connection may stay idle.
+    /// The timeout of an idle connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    // What both early users have set.
+    // The limits that deployments configure.
     fn default() -> Self {
         CallerLimits {
             head_bytes: 16 << 10,
--- a/crates/gateway/src/table/mod.rs
+++ b/crates/gateway/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration as the pipeline uses it: routes, services, teams and limits at one revision.
+//! The parsed configuration: routes, services, teams and limits at one revision.
 
 mod limits;
 mod route;
--- a/crates/gateway/src/table/route.rs
+++ b/crates/gateway/src/table/route.rs
@@ -1,12 +1,12 @@
-//! One route with its name.
+//! One route and its name.
 
 use bulrushhall_core::config::RouteConfig;
 
-/// A `Route` takes the requests of a host whose path begins with a prefix.
+/// A `Route` matches the requests for a host whose path begins with a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name, for logs.
     pub name: String,
-    /// What its configuration says.
+    /// Its configuration.
     pub cfg: RouteConfig,
 }
--- a/crates/gateway/src/table/route_table.rs
+++ b/crates/gateway/src/table/route_table.rs
@@ -1,4 +1,4 @@
-//! All that is in force at one revision.
+//! The configuration at one revision.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -14,9 +14,9 @@
     pub revision: Revision,
     /// The services by name.
     pub services: HashMap<ServiceName, ServiceEntry>,
-    /// What callers may send.
+    /// The limits of callers' connections.
     pub limits: CallerLimits,
-    /// The document that it was read from, for nodes that are behind.
+    /// The document from which it was parsed, for nodes with an older configuration.
     pub document: Bytes,
     routes: HashMap<String, Vec<Arc<Route>>>,
     keys: HashMap<String, Arc<TeamEntry>>,
@@ -24,20 +24,20 @@
 }
 
 impl RouteTable {
-    /// Returns this table with routes in place of those it has.
+    /// Returns this table with its routes replaced.
     pub fn with_routes(mut self, routes: impl IntoIterator<Item = Route>) -> RouteTable {
         self.routes.clear();
         for route in routes {
             self.routes.entry(route.cfg.host.clone()).or_default().push(Arc::new(route));
         }
         for of_host in self.routes.values_mut() {
-            // The first that fits is then the longest.
+            // The first match is then the one with the longest prefix.
             of_host.sort_by_key(|route| std::cmp::Reverse(route.cfg.prefix.len()));
         }
         self
     }
 
-    /// Returns this table with teams and their keys in place of those it has.
+    /// Returns this table with its teams and their keys replaced.
     pub fn with_teams(
         mut self,
         teams: impl IntoIterator<Item = (TeamEntry, Vec<String>)>,
@@ -54,7 +54,7 @@
         self
     }
 
-    /// Returns the route with the longest prefix that takes a path of a host.
+    /// Returns the route of a host with the longest prefix that matches a path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let of_host = match self.routes.get(host) {
             Some(of_host) => of_host,
@@ -63,7 +63,7 @@
         of_host.iter().find(|route| path.starts_with(&route.cfg.prefix))
     }
 
-    /// Returns the team that a key belongs to.
+    /// Returns the team of a key.
     pub fn team(&self, key: &str) -> Option<&Arc<TeamEntry>> {
         self.keys.get(key)
     }
--- a/crates/gateway/src/table/service.rs
+++ b/crates/gateway/src/table/service.rs
@@ -1,23 +1,23 @@
-//! One service and the sizes of its backend servers.
+//! One service and the capacity of its backend servers.
 
 use bulrushhall_policy::fleet_counts::CountLimits;
 
-/// The part of an engine's memory that prompts are remembered in; the rest is for those running.
+/// The fraction of an engine's KV cache that holds cached prefixes; the rest is for running requests.
 const REMEMBERED_SHARE: f64 = 0.6;
 
-/// `EngineSizes` are what one model engine of a service holds.
+/// `EngineSizes` are the capacities of one model engine of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSizes {
-    /// The requests in its batch.
+    /// The number of requests in its batch.
     pub slots: u32,
-    /// The tokens in its memory.
+    /// The capacity of its KV cache, in tokens.
     pub memory: u64,
-    /// The tokens that it copies from another one's memory in a millisecond; 0 where it can't.
+    /// The number of tokens that it copies from another engine's KV cache in a millisecond; 0 if it can't.
     pub copied_per_ms: f64,
 }
 
 impl EngineSizes {
-    /// Returns the tokens of prompts that an engine is believed to keep besides what is running.
+    /// Returns the number of cached prompt tokens that an engine presumably keeps besides running requests.
     pub fn remembered(&self) -> u64 {
         (self.memory as f64 * REMEMBERED_SHARE) as u64
     }
@@ -26,10 +26,10 @@
 /// A `ServiceEntry` is one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceEntry {
-    /// The connections that one backend server takes from all nodes together.
+    /// The maximum number of connections that one backend server accepts from all nodes together.
     pub connections: u32,
-    /// The sizes of its engines; none where it is a plain service.
+    /// The capacities of its engines; none for a plain service.
     pub engine: Option<EngineSizes>,
-    /// How many backend servers may be ordered, where the platform takes orders.
+    /// The limits of its number of backend servers, if the platform accepts orders.
     pub counts: Option<CountLimits>,
 }
--- a/crates/gateway/src/table/team.rs
+++ b/crates/gateway/src/table/team.rs
@@ -1,16 +1,16 @@
-//! One team and what it may take.
+//! One team and its limit.
 
 use bulrushhall_core::TeamName;
 use bulrushhall_policy::quota::QuotaLimit;
 
-/// A `QuotaUnit` tells in what a team's limit is counted.
+/// A `QuotaUnit` is the unit of a team's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaUnit {
     /// Each request counts as one.
     Requests,
     /// Each request counts as its tokens.
     Tokens {
-        /// What a request counts as that tells no tokens.
+        /// The tokens that are counted for a request that announces none.
         default_tokens: f64,
     },
 }
@@ -20,10 +20,10 @@
 pub struct TeamEntry {
     /// Its name.
     pub name: TeamName,
-    /// Its rank, where it goes before the rank of a route.
+    /// Its priority, if it overrides the priority of the route.
     pub priority: Option<u8>,
-    /// What it may take over all nodes.
+    /// Its limit over all nodes.
     pub limit: QuotaLimit,
-    /// In what that is counted.
+    /// The unit of the limit.
     pub unit: QuotaUnit,
 }
--- a/crates/gateway/tests/change_log.rs
+++ b/crates/gateway/tests/change_log.rs
@@ -1,4 +1,4 @@
-//! Changes that one node tells another, which may have missed some.
+//! Updates of records for a node that may have missed some.
 
 use std::collections::BTreeMap;
 
@@ -50,7 +50,7 @@
     assert_eq!(told.gone, ["a"]);
 }
 
-// Guards against a record that is there again and is told as gone.
+// Guards against a record that was added again and is still reported as removed.
 #[test]
 fn gone_and_back() {
     let mut records = Records::default();
@@ -61,8 +61,8 @@
     assert_eq!((names(&told), told.gone.len()), (vec!["a"], 0));
 }
 
-// Guards against a receiver that keeps a record for ever whose end is not remembered any more, and against one that
-// goes on with numbers of another life.
+// Guards against a receiver that keeps a removed record forever because its tombstone was dropped, and against one
+// that continues with the change numbers of another incarnation.
 #[test]
 fn forgotten() {
     let mut records = Records::default();
--- a/crates/gateway/tests/whole_events.rs
+++ b/crates/gateway/tests/whole_events.rs
@@ -1,4 +1,4 @@
-//! Streams cut into whole events, however their bytes arrive.
+//! Splitting of streams into complete events, in whatever pieces their bytes arrive.
 
 use bulrushhall_gateway::pipeline::EventSplitter;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -26,8 +26,8 @@
     (String::from_utf8(whole).expect("text"), last)
 }
 
-// An engine dies anywhere in a stream and another goes on after the last event that passed. Whatever
-// the place and the pieces in which bytes arrive, the caller reads each event once and whole.
+// An engine may fail at any byte of a stream, which another engine resumes after the last forwarded event. Guards
+// against events that the caller gets twice, incompletely or not at all.
 #[rstest]
 #[case("\n")]
 #[case("\r\n")]
@@ -39,7 +39,7 @@
         let cut = random.random_range(0..=stream.len());
         let mut first = EventSplitter::default();
         let (mut read, last) = push_all(&mut first, &stream.as_bytes()[..cut], &mut random);
-        // The next engine may repeat events that the first had sent.
+        // The next engine may repeat events that the first one has already sent.
         let from = last.unwrap_or(0).saturating_sub(random.random_range(0..2)) as usize;
         let mut second = EventSplitter::after(last);
         let rest = events[from..].concat();
