--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use bulrushhall_core::{Fence, Incarnation, Ran, Stamp};
+use bulrushhall_core::{FencingNumber, Incarnation, Ran, Stamp};
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -18,7 +18,7 @@
     /// The part of the time that the holder does not count on, for clocks that run apart.
     pub margin: Duration,
     /// The time between two renewals, and between two looks at another's lease.
-    pub pause: Duration,
+    pub renew_interval: Duration,
     /// The longest time that an order of an earlier holder may still be on its way.
     pub order_timeout: Duration,
 }
@@ -33,7 +33,7 @@
     /// Renews the lease.
     Renew(u64),
     /// Removes the duty's key where it has this version.
-    Release(Fence),
+    Release(FencingNumber),
 }
 
 /// A `Holder` is what the key of a held duty says.
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The life that holds the duty.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The lease that the key is tied to.
     pub lease: u64,
 }
@@ -55,9 +55,9 @@
     /// The lease was opened.
     Granted(u64),
     /// The duty's key was written and has this version.
-    Claimed(Fence),
+    Claimed(FencingNumber),
     /// The duty's key is held, with this version and by this holder.
-    Taken(Fence, Holder),
+    Taken(FencingNumber, Holder),
     /// The lease was renewed, or the key removed.
     Done,
     /// The call failed, and may or may not take effect.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
     /// The fencing number that every order carries.
-    pub fence: Fence,
+    pub fence: FencingNumber,
     /// From when on orders may contradict those of an earlier holder.
     pub from: Stamp,
     /// Until when the right lasts if it is not renewed.
@@ -103,7 +103,7 @@
         LeaseOptions {
             ttl: Duration::from_secs(10),
             margin: Duration::from_secs(2),
-            pause: Duration::from_secs(3),
+            renew_interval: Duration::from_secs(3),
             order_timeout: Duration::from_secs(2),
         }
     }
@@ -127,14 +127,14 @@
 impl Holder {
     /// Returns the value that the duty's key has.
     pub fn encode(self) -> String {
-        format!("{} {:x}", self.life, self.lease)
+        format!("{} {:x}", self.incarnation, self.lease)
     }
 
     /// Reads the value of a duty's key.
     pub fn decode(value: &str) -> Option<Holder> {
         let (life, lease) = value.split_once(' ')?;
         let lease = u64::from_str_radix(lease, 16).ok()?;
-        Some(Holder { life: life.parse().ok()?, lease })
+        Some(Holder { incarnation: life.parse().ok()?, lease })
     }
 }
 
@@ -194,7 +194,7 @@
             }
             // The reply to an earlier claim was lost, but the claim took effect.
             (State::Claiming { lease, granted }, LeaseReply::Taken(fence, holder))
-                if holder == (Holder { life: self.own, lease }) =>
+                if holder == (Holder { incarnation: self.own, lease }) =>
             {
                 self.gain(now, lease, granted, fence);
             }
@@ -206,7 +206,7 @@
                 hold.until = self.until(sent);
                 self.state = State::Holding { lease, hold };
                 self.failures = 0;
-                self.due = now + self.options.pause;
+                self.due = now + self.options.renew_interval;
             }
             (State::Releasing, _) => {
                 self.state = State::Without;
@@ -225,7 +225,7 @@
         }
     }
 
-    fn gain(&mut self, now: Stamp, lease: u64, granted: Stamp, fence: Fence) {
+    fn gain(&mut self, now: Stamp, lease: u64, granted: Stamp, fence: FencingNumber) {
         let until = self.until(granted);
         // The key was absent, so the earlier holder's lease has lapsed and it knows by its own
         // clock. Orders that it sent before are gone once their time-out has passed.
@@ -250,13 +250,13 @@
     }
 
     fn wait(&mut self, now: Stamp, random: &mut dyn Rng) {
-        self.due = now + self.options.pause.mul_f64(random.random_range(0.8..1.2));
+        self.due = now + self.options.renew_interval.mul_f64(random.random_range(0.8..1.2));
     }
 
     // All nodes lose the service at once and would all come back at once.
     fn back_off(&mut self, now: Stamp, random: &mut dyn Rng) {
         self.failures += 1;
-        let full = self.options.pause.mul_f64(0.25) * (1 << self.failures.min(4));
+        let full = self.options.renew_interval.mul_f64(0.25) * (1 << self.failures.min(4));
         self.due = now + full.mul_f64(random.random_range(0.5..1.0));
     }
 }
--- a/crates/gateway/src/backends/backend.rs
+++ b/crates/gateway/src/backends/backend.rs
@@ -3,7 +3,9 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use bulrushhall_core::{Incarnation, Stamp};
-use bulrushhall_policy::{doubt::Doubt, parts::PartMemory, recent_parts::RecentParts};
+use bulrushhall_policy::{
+    circuit_breaker::CircuitBreaker, parts::CachedParts, recent_parts::RecentParts,
+};
 
 use crate::{
     adapter::{BackendRecord, BackendState},
@@ -62,8 +64,8 @@
             changed_at: 0,
             missing_until: None,
             replaced: false,
-            doubt: Doubt::default(),
-            parts: PartMemory::default(),
+            circuit_breaker: CircuitBreaker::default(),
+            parts: CachedParts::default(),
             recent: RecentParts::default(),
             recent_near: RecentParts::default(),
             recent_far: RecentParts::default(),
--- a/crates/gateway/src/cluster/digest.rs
+++ b/crates/gateway/src/cluster/digest.rs
@@ -2,7 +2,7 @@
 
 use bulrushhall_coord::{TeamCounts, Window};
 use bulrushhall_core::{Incarnation, NodeName, Revision, ServiceName, TeamName};
-use bulrushhall_policy::{observed::EnginePace, parts::PromptPart};
+use bulrushhall_policy::{observed::EngineLatencyModel, parts::PromptPart};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
--- a/crates/gateway/src/cluster/exchange.rs
+++ b/crates/gateway/src/cluster/exchange.rs
@@ -7,11 +7,11 @@
     time::Duration,
 };
 
-use bulrushhall_coord::{IsAsked, RelayOptions, RelayPeer, Role};
+use bulrushhall_coord::{RelayOptions, RelayPeer, RelayRequested, Role};
 use bulrushhall_core::{Event, NodeName, Stamp};
 use bulrushhall_external::{
     CallError, CallFault,
-    http::{Endpoint, EndpointOptions, Progress, read_progressing},
+    http::{BodyTimeouts, Endpoint, EndpointOptions, read_with_timeouts},
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -137,7 +137,8 @@
         silent: member.is_silent(now, options.silent_after),
     });
     let is_asked = state.relay_asked_at.is_some_and(|at| now.since(at) < RELAY_FOR);
-    let plan = options.plan(own, others, if is_asked { IsAsked::Yes } else { IsAsked::No });
+    let plan =
+        options.plan(own, others, if is_asked { RelayRequested::Yes } else { RelayRequested::No });
     meters::role(plan.role);
     if plan.role != state.relays.role {
         let (before, role) = (state.relays.role, plan.role);
@@ -262,8 +263,11 @@
 
 /// Returns the endpoint of a node.
 pub fn endpoint(address: SocketAddr) -> Endpoint {
-    let options =
-        EndpointOptions { connect: CONNECT, answer: ANSWER, ..EndpointOptions::default() };
+    let options = EndpointOptions {
+        connect_timeout: CONNECT,
+        response_timeout: ANSWER,
+        ..EndpointOptions::default()
+    };
     Endpoint::new(address, options)
 }
 
@@ -271,12 +275,12 @@
     endpoint: &Endpoint,
     path: &str,
     message: Bytes,
-    progress: Progress,
+    progress: BodyTimeouts,
 ) -> Result<T, CallError> {
     let malformed = || CallError::unknown(CallFault::Malformed);
     let req = Request::post(path).body(Full::new(message));
     let answer = endpoint.send(req.map_err(|_| malformed())?).await?;
-    let body = read_progressing(answer.into_body(), MESSAGE_LIMIT, progress).await;
+    let body = read_with_timeouts(answer.into_body(), MESSAGE_LIMIT, progress).await;
     let body = body.map_err(|error| CallError::unknown(error.into()))?;
     rmp_serde::from_slice(&body).map_err(|_| malformed())
 }
--- a/crates/gateway/src/cluster/hear.rs
+++ b/crates/gateway/src/cluster/hear.rs
@@ -2,9 +2,9 @@
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use bulrushhall_coord::{NewsScope, Role, SourceChoice, usage::UsageOf};
+use bulrushhall_coord::{Role, SourceChoice, UpdateScope, usage::UsageScope};
 use bulrushhall_core::{Event, Incarnation, Stamp, TeamName, ZoneName};
-use bulrushhall_policy::quota::QuotaTold;
+use bulrushhall_policy::quota::QuotaReport;
 
 use crate::{
     backends::RecordNews,
@@ -79,7 +79,7 @@
         let revision = told.revision;
         let hearing = Hearing { gateway, now, zone, table: table.as_deref() };
         hearing.take(state, told);
-        state.catch_up.hear(now, own, revision);
+        state.catch_up.observe(now, own, revision);
         let patience = document.map_or(Duration::ZERO, patience);
         let patience = if state.config_lost { Duration::ZERO } else { patience };
         let is_due = state.catch_up.begin(now, own, revision, patience);
@@ -99,7 +99,7 @@
 impl Hearing<'_> {
     fn take(&self, state: &mut State, mut told: Digest) {
         for (service, pace) in &told.paces {
-            state.observed(service).engines.hear(*pace);
+            state.observed(service).engines.receive(*pace);
         }
         if told.scope == DigestScope::Nothing {
             return;
@@ -129,21 +129,21 @@
         let scope = match (told.scope, state.relays.role) {
             (DigestScope::Own, Role::Flat) => return true,
             (DigestScope::Own, Role::Relay) => return is_near,
-            (DigestScope::Zone, Role::Relay) if !is_near => NewsScope::Zone(self.zone.clone()),
-            (DigestScope::Others, Role::Flat | Role::Member) => NewsScope::Others,
+            (DigestScope::Zone, Role::Relay) if !is_near => UpdateScope::Zone(self.zone.clone()),
+            (DigestScope::Others, Role::Flat | Role::Member) => UpdateScope::Others,
             _ => return false,
         };
         match state.sources.offer(self.now, scope, told.incarnation, told.nodes) {
             SourceChoice::Ignored => false,
-            SourceChoice::Taken { before } => {
-                if let Some(before) = before {
+            SourceChoice::Accepted { previous } => {
+                if let Some(previous) = previous {
                     tracing::info!(
                         event = Event::SourceChanged.number(),
                         node = %told.node,
                         nodes = told.nodes,
-                        before = before.0
+                        before = previous.0
                     );
-                    drop_source(state, before);
+                    drop_source(state, previous);
                 }
                 true
             }
@@ -182,9 +182,9 @@
 
     fn take_usage(&self, state: &mut State, told: &Digest) {
         let of = match told.scope {
-            DigestScope::Own => UsageOf::Life(told.incarnation, &self.zone),
-            DigestScope::Zone => UsageOf::Zone(&self.zone),
-            DigestScope::Others => UsageOf::Others,
+            DigestScope::Own => UsageScope::Incarnation(told.incarnation, &self.zone),
+            DigestScope::Zone => UsageScope::Zone(&self.zone),
+            DigestScope::Others => UsageScope::Others,
             DigestScope::Nothing => return,
         };
         for (window, counts) in &told.usage {
@@ -206,11 +206,11 @@
             told.asked.iter().map(|(team, asked)| (team, *asked)).collect();
         for (team, total) in &told.quotas {
             let asked = asked.get(team).copied().unwrap_or(0.0);
-            let quota_told = QuotaTold { total: *total, asked };
+            let quota_told = QuotaReport { total: *total, demand: asked };
             let quota = state.quota(team);
             match told.scope {
-                DigestScope::Own => quota.hear(self.now, told.incarnation, quota_told),
-                _ => quota.hear_sum(self.now, told.incarnation, quota_told, told.nodes),
+                DigestScope::Own => quota.receive(self.now, told.incarnation, quota_told),
+                _ => quota.receive_sum(self.now, told.incarnation, quota_told, told.nodes),
             }
         }
     }
--- a/crates/gateway/src/cluster/tell.rs
+++ b/crates/gateway/src/cluster/tell.rs
@@ -2,9 +2,9 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use bulrushhall_coord::{Role, TeamCounts, Window, usage::ToldWindows};
+use bulrushhall_coord::{Role, TeamCounts, Window, usage::WindowSelection};
 use bulrushhall_core::{Incarnation, ServiceName, Stamp, TeamName};
-use bulrushhall_policy::{parts::PromptPart, quota::QuotaTold};
+use bulrushhall_policy::{parts::PromptPart, quota::QuotaReport};
 
 use crate::{
     clock,
@@ -77,11 +77,11 @@
         digest.nodes = u32::try_from(digest.heard.len() + 1).unwrap_or(u32::MAX);
         for (team, quota) in &state.quotas {
             let told = match self.message.scope {
-                DigestScope::Zone => quota.told_of_zone(self.now),
-                DigestScope::Others => quota.told_of_others(self.now, self.receiver()),
-                DigestScope::Own | DigestScope::Nothing => quota.told(self.now),
+                DigestScope::Zone => quota.zone_report(self.now),
+                DigestScope::Others => quota.report_excluding(self.now, self.receiver()),
+                DigestScope::Own | DigestScope::Nothing => quota.report(self.now),
             };
-            let QuotaTold { total, asked } = told;
+            let QuotaReport { total, demand: asked } = told;
             digest.quotas.push((team.clone(), total));
             if ASKED_LEAST <= asked {
                 digest.asked.push((TeamName::clone(team), asked));
@@ -95,7 +95,9 @@
         if is_own || state.exchanges.is_multiple_of(LATE_NEWS_EACH) {
             digest.usage = self.usage(state);
             for (service, observed) in &state.observed {
-                digest.paces.extend(observed.engines.own().map(|pace| (service.clone(), pace)));
+                digest
+                    .paces
+                    .extend(observed.engines.own_model().map(|pace| (service.clone(), pace)));
             }
         }
     }
@@ -130,16 +132,16 @@
         let mut loads = Vec::new();
         for (_, backend) in state.backends.iter_mut() {
             let load = match scope {
-                DigestScope::Zone => backend.load(now, |life| !sources.has(life)),
+                DigestScope::Zone => backend.load(now, |life| !sources.contains(life)),
                 DigestScope::Others => backend.load(now, |life| life != receiver),
                 DigestScope::Own | DigestScope::Nothing => backend.own,
             };
-            let mut parts: Vec<PromptPart> = backend.recent.told(now, told_for);
+            let mut parts: Vec<PromptPart> = backend.recent.updates(now, told_for);
             if matches!(scope, DigestScope::Zone | DigestScope::Others) {
-                parts.extend(backend.recent_near.told(now, told_for));
+                parts.extend(backend.recent_near.updates(now, told_for));
             }
             if scope == DigestScope::Others {
-                parts.extend(backend.recent_far.told(now, told_for));
+                parts.extend(backend.recent_far.updates(now, told_for));
             }
             parts.sort_unstable_by_key(|part| part.id);
             parts.dedup_by_key(|part| part.id);
@@ -159,7 +161,7 @@
         for (_, member) in state.members.iter() {
             let life = member.record.incarnation;
             let is_told = match self.message.scope {
-                DigestScope::Zone => member.record.zone == *zone && !state.sources.has(life),
+                DigestScope::Zone => member.record.zone == *zone && !state.sources.contains(life),
                 DigestScope::Others => life != self.receiver(),
                 DigestScope::Own | DigestScope::Nothing => false,
             };
@@ -180,7 +182,7 @@
             DigestScope::Zone | DigestScope::Others => state.exchanges / LATE_NEWS_EACH,
         };
         let is_for_all = rounds.is_multiple_of(ALL_WINDOWS_EACH);
-        let which = if is_for_all { ToldWindows::All } else { ToldWindows::Newest };
+        let which = if is_for_all { WindowSelection::All } else { WindowSelection::Newest };
         match self.message.scope {
             DigestScope::Zone => state.usage.of_zone(&self.gateway.settings.gateway.zone, which),
             DigestScope::Others => state.usage.of_others(self.receiver(), which),
--- a/crates/gateway/src/duties/holder.rs
+++ b/crates/gateway/src/duties/holder.rs
@@ -8,7 +8,7 @@
 use bulrushhall_coord::{
     Hold, Holder as HolderRecord, Lease, LeaseCall, LeaseOptions, LeaseReply, Role, Wanted,
 };
-use bulrushhall_core::{Event, Fence, Incarnation, NodeName};
+use bulrushhall_core::{Event, FencingNumber, Incarnation, NodeName};
 use bulrushhall_external::{
     CallError, KeyValue,
     kv::{CasOutcome, LeaseId, Version},
@@ -52,7 +52,7 @@
         let options = LeaseOptions {
             ttl,
             margin: ttl.mul_f64(MARGIN_SHARE),
-            pause: ttl.mul_f64(RENEW_SHARE),
+            renew_interval: ttl.mul_f64(RENEW_SHARE),
             order_timeout: ORDER_TIMEOUT,
         };
         let lease = Lease::new(clock::now(), gateway.incarnation, options);
@@ -86,7 +86,7 @@
             let listed = state.members.iter().filter(|(_, member)| member.listed);
             // Members don't see that the duties are free while relays supply them with records.
             let relays = &state.relays;
-            let tries = |name: &NodeName| relays.role == Role::Flat || relays.names(name);
+            let tries = |name: &NodeName| relays.role == Role::Flat || relays.includes(name);
             let earlier = listed.filter(|(name, _)| *name < own && tries(name)).count();
             let turn = TURN * u32::try_from(earlier).unwrap_or(u32::MAX);
             let since = state.members.duty_free_since;
@@ -113,12 +113,12 @@
     }
 
     async fn claim(&self, kv: &dyn KeyValue, lease: u64) -> LeaseReply {
-        let own = HolderRecord { life: self.gateway.incarnation, lease }.encode();
+        let own = HolderRecord { incarnation: self.gateway.incarnation, lease }.encode();
         let put = kv.put_if(DUTY_KEY, Version(0), Bytes::from(own), Some(LeaseId(lease)));
         match within(CALL_TIMEOUT, put).await {
-            Ok(CasOutcome::Written(version)) => LeaseReply::Claimed(Fence(version.0)),
+            Ok(CasOutcome::Written(version)) => LeaseReply::Claimed(FencingNumber(version.0)),
             Ok(CasOutcome::Conflict(found)) => {
-                LeaseReply::Taken(Fence(found.version.0), holder_of(&found.value))
+                LeaseReply::Taken(FencingNumber(found.version.0), holder_of(&found.value))
             }
             Err(error) => failed(error),
         }
@@ -131,7 +131,7 @@
 
 /// Claims and renews the lease of the duties, forever.
 pub async fn keep(holder: Arc<Holder>) {
-    let mut held: Option<Fence> = None;
+    let mut held: Option<FencingNumber> = None;
     loop {
         let wanted = holder.wanted();
         let call = holder.lock(|lease| lease.tick(clock::now(), wanted));
@@ -150,7 +150,7 @@
     }
 }
 
-fn log_change(before: Option<Fence>, now: Option<Fence>) {
+fn log_change(before: Option<FencingNumber>, now: Option<FencingNumber>) {
     if let Some(fence) = before {
         tracing::info!(event = Event::DutiesLost.number(), fence = fence.0);
     }
@@ -166,5 +166,5 @@
 // A value that can't be decoded belongs to no node: the duties count as held until the key is removed.
 fn holder_of(value: &Bytes) -> HolderRecord {
     let held = std::str::from_utf8(value).ok().and_then(HolderRecord::decode);
-    held.unwrap_or(HolderRecord { life: Incarnation(0), lease: 0 })
+    held.unwrap_or(HolderRecord { incarnation: Incarnation(0), lease: 0 })
 }
--- a/crates/gateway/src/fleet_settings.rs
+++ b/crates/gateway/src/fleet_settings.rs
@@ -1,7 +1,7 @@
 //! The settings for the number of engines that a node orders for a demand.
 
 use bulrushhall_core::config::{Problem, Section};
-use bulrushhall_policy::fleet_counts::Staffing;
+use bulrushhall_policy::fleet_counts::SizingRule;
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
 
@@ -36,7 +36,7 @@
     /// Returns the rule for the number of engines.
     pub fn staffing(&self) -> Staffing {
         let FleetSettings { used_most, spread, kept_starts, stand_in_starts } = *self;
-        Staffing { used_most, spread, kept_starts, stand_in_starts }
+        SizingRule { used_most, spread, kept_starts, stand_in_starts }
     }
 
     /// Returns the values that are out of range.
@@ -65,7 +65,7 @@
 
 impl Default for FleetSettings {
     fn default() -> Self {
-        let Staffing { used_most, spread, kept_starts, stand_in_starts } = Staffing::default();
+        let SizingRule { used_most, spread, kept_starts, stand_in_starts } = SizingRule::default();
         FleetSettings { used_most, spread, kept_starts, stand_in_starts }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,13 +8,14 @@
 
 use arc_swap::ArcSwapOption;
 use bulrushhall_coord::{
-    CatchUp, Freshness, NewsSources, RelayPlan, Role, UsageCounts, Window, usage::correction,
+    CatchUp, Freshness, RelayPlan, Role, UpdateSources, UsageCounts, Window,
+    usage::clock_correction,
 };
 use bulrushhall_core::{Incarnation, Revision, ServiceName, Stamp, TeamName};
 use bulrushhall_external::KeyValue;
 use bulrushhall_policy::{
     quota::{Quota, QuotaSlack},
-    repeat_share::{RepeatLimit, RepeatShare},
+    windowed_retry_budget::{RetryLimit, WindowedRetryBudget},
 };
 use rand::RngExt;
 use tokio::sync::watch;
@@ -137,7 +138,7 @@
     /// Returns the quota of a team.
     pub fn quota(&mut self, team: &TeamName) -> &mut Quota {
         let restarted_at = self.restarted_at;
-        let bucket = || restarted_at.map_or_else(Quota::default, Quota::drained);
+        let bucket = || restarted_at.map_or_else(Quota::default, Quota::empty);
         self.quotas.entry(team.clone()).or_insert_with(bucket)
     }
 }
@@ -223,7 +224,7 @@
 
     // The wall clock corrected by the offsets of the other nodes, so that most nodes agree on it.
     fn day(&self) -> Duration {
-        let ahead = self.with(|state| correction(state.members.days_ahead()));
+        let ahead = self.with(|state| clock_correction(state.members.days_ahead()));
         let shift = Duration::from_millis(ahead.unsigned_abs());
         let own = self.own_day();
         if ahead < 0 { own.saturating_sub(shift) } else { own + shift }
@@ -274,7 +275,7 @@
     /// Returns the limit on retries.
     pub fn repeat_limit(&self) -> RepeatLimit {
         let bounds = &self.settings.bounds;
-        RepeatLimit {
+        RetryLimit {
             ratio: bounds.retry_ratio,
             headroom: bounds.retry_headroom,
             window: bounds.retry_window.into(),
--- a/crates/gateway/src/observed.rs
+++ b/crates/gateway/src/observed.rs
@@ -1,6 +1,6 @@
 //! The latencies that a node has observed at the backend servers of one service.
 
-use bulrushhall_policy::observed::{CallTimes, EngineSpeed};
+use bulrushhall_policy::observed::{CallTimes, EngineLatencyEstimator};
 
 /// `Observed` are the latencies that a node has observed at the backend servers of one service.
 #[derive(Clone, Debug, Default)]
--- a/crates/gateway/src/pipeline/relay.rs
+++ b/crates/gateway/src/pipeline/relay.rs
@@ -3,7 +3,7 @@
 use std::{error, fmt, sync::Arc, time::Duration};
 
 use bulrushhall_core::{Event, ServiceName, config::RouteKind};
-use bulrushhall_external::http::{Body, BodyFault};
+use bulrushhall_external::http::{Body, BoxError};
 use bulrushhall_policy::placement::WorkerKey;
 use bytes::Bytes;
 use futures_util::stream::unfold;
@@ -266,7 +266,7 @@
         answering.occupancy.note_stream(gap, events, prompt.answer());
     }
 
-    fn cut(&mut self, fault: RelayFault) -> Option<Result<Bytes, BodyFault>> {
+    fn cut(&mut self, fault: RelayFault) -> Option<Result<Bytes, BoxError>> {
         self.ended = true;
         self.answering = None;
         self.trail.cut();
--- a/crates/gateway/src/pipeline/serve.rs
+++ b/crates/gateway/src/pipeline/serve.rs
@@ -154,7 +154,7 @@
     let Some(team) = &req.team else { return };
     gateway.with(|state| {
         if let Some(quota) = state.quotas.get_mut(&team.name) {
-            quota.give_back(amount);
+            quota.refund(amount);
         }
     });
 }
@@ -208,7 +208,7 @@
         if original.end <= clock::now() {
             return Err(Failure::Late(attempts.ran()));
         }
-        let allowed = attempts.may_try_again() || req.route.cfg.kind.may_run_again();
+        let allowed = attempts.may_retry() || req.route.cfg.kind.may_run_again();
         if !allowed || !again(gateway, req, service, trail) {
             return Err(honest(Failure::Rejected, attempts));
         }
--- a/crates/gateway/src/pipeline/stream_gaps.rs
+++ b/crates/gateway/src/pipeline/stream_gaps.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bulrushhall_core::Stamp;
-use bulrushhall_policy::observed::Recent;
+use bulrushhall_policy::observed::RecentSamples;
 
 /// The number of gaps that are kept of a stream. These are its last ones: the sample is taken with the
 /// engine's load at the end of the stream.
@@ -14,7 +14,7 @@
 /// `StreamGaps` are the gaps between the events of one stream.
 #[derive(Clone, Debug, Default)]
 pub struct StreamGaps {
-    gaps: Recent<HELD>,
+    gaps: RecentSamples<HELD>,
     last_at: Option<Stamp>,
     events: u32,
 }
