--- a/crates/gateway/src/backends/backend.rs
+++ b/crates/gateway/src/backends/backend.rs
@@ -35,9 +35,9 @@
     /// Whether another server responded at its address.
     pub replaced: bool,
     /// The circuit breaker, which the outcomes of calls drive.
-    pub doubt: Doubt,
+    pub circuit_breaker: CircuitBreaker,
     /// The prompt parts that its prefix cache presumably holds.
-    pub parts: PartMemory,
+    pub parts: CachedParts,
     /// The prompt parts that this node recently sent to it.
     pub recent: RecentParts,
     /// The prompt parts that other nodes recently sent to it, as reported by themselves.
--- a/crates/gateway/src/cluster/digest.rs
+++ b/crates/gateway/src/cluster/digest.rs
@@ -115,7 +115,7 @@
     /// The load offered to the engines of each service.
     pub offered: Vec<(ServiceName, Offered)>,
     /// The sender's latency models of the engines of each service.
-    pub paces: Vec<(ServiceName, EnginePace)>,
+    pub paces: Vec<(ServiceName, EngineLatencyModel)>,
     /// The position of the sender, a member, in the records that a relay supplies.
     #[serde(default)]
     pub records_known: Option<RecordsKnown>,
--- a/crates/gateway/src/cluster/exchange.rs
+++ b/crates/gateway/src/cluster/exchange.rs
@@ -54,9 +54,9 @@
 /// The timeout for a response of a node.
 pub const ANSWER: Duration = Duration::from_millis(700);
 /// The time limits of a digest: one that takes longer is outdated on arrival.
-const DIGEST: Progress = Progress { pause: ANSWER, whole: ANSWER };
+const DIGEST: BodyTimeouts = BodyTimeouts { idle: ANSWER, total: ANSWER };
 /// The time limits of a configuration.
-const DOCUMENT: Progress = Progress { pause: ANSWER, whole: Duration::from_secs(10) };
+const DOCUMENT: BodyTimeouts = BodyTimeouts { idle: ANSWER, total: Duration::from_secs(10) };
 /// The maximum size of a message, in bytes: that of a configuration, with a margin.
 pub const MESSAGE_LIMIT: usize = 4 << 20;
 /// The path to which digests are sent.
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the number of engines that it keeps busy.
-    pub fn busy(self, pace: &EnginePace, slots: u32) -> f64 {
+    pub fn busy(self, pace: &EngineLatencyModel, slots: u32) -> f64 {
         let batch = (f64::from(slots) * BATCH_SHARE).max(1.0);
         (pace.prefill_ms(self.read) + pace.decode_work_ms(self.answer, batch)) / 1_000.0
     }
--- a/crates/gateway/src/fleet_settings.rs
+++ b/crates/gateway/src/fleet_settings.rs
@@ -34,7 +34,7 @@
 
 impl FleetSettings {
     /// Returns the rule for the number of engines.
-    pub fn staffing(&self) -> Staffing {
+    pub fn sizing_rule(&self) -> SizingRule {
         let FleetSettings { used_most, spread, kept_starts, stand_in_starts } = *self;
         SizingRule { used_most, spread, kept_starts, stand_in_starts }
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -81,7 +81,7 @@
     /// The role of this node in gossip, and the nodes with which it exchanges digests.
     pub relays: RelayPlan,
     /// The relays whose aggregates are applied.
-    pub sources: NewsSources,
+    pub sources: UpdateSources,
     /// When another node last contacted this one as a relay.
     pub relay_asked_at: Option<Stamp>,
     /// The number of gossip rounds since the start.
@@ -103,7 +103,7 @@
     /// When the node started; none if the whole system started for the first time.
     pub restarted_at: Option<Stamp>,
     /// The retry budget of each service.
-    pub repeats: HashMap<ServiceName, RepeatShare>,
+    pub repeats: HashMap<ServiceName, WindowedRetryBudget>,
     /// The number of requests started by each team.
     pub usage: UsageCounts,
     /// The load that this node offers to the engines of each service.
@@ -273,7 +273,7 @@
     }
 
     /// Returns the limit on retries.
-    pub fn repeat_limit(&self) -> RepeatLimit {
+    pub fn repeat_limit(&self) -> RetryLimit {
         let bounds = &self.settings.bounds;
         RetryLimit {
             ratio: bounds.retry_ratio,
--- a/crates/gateway/src/observed.rs
+++ b/crates/gateway/src/observed.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Observed {
     /// The latency estimates of its engines.
-    pub engines: EngineSpeed,
+    pub engines: EngineLatencyEstimator,
     /// The call times, if it is a plain service.
     pub calls: CallTimes,
 }
--- a/crates/gateway/src/pipeline/place.rs
+++ b/crates/gateway/src/pipeline/place.rs
@@ -151,7 +151,8 @@
             expected: Some(chosen.first_token),
             // If a part of the prompt may be copied or is only assumed to be cached, it is not known
             // how many tokens the engine prefills.
-            unqueued: chosen.wait.is_zero() && chosen.to_read + chosen.cached == prompt.tokens,
+            unqueued: chosen.wait.is_zero()
+                && chosen.prefill_tokens + chosen.cached == prompt.tokens,
         };
         let (key, wait, candidates) = (chosen.key, chosen.wait, views.len());
         Ok(Chosen { key, wait, footprint, copy_from, candidates })
--- a/crates/gateway/src/pipeline/relay.rs
+++ b/crates/gateway/src/pipeline/relay.rs
@@ -114,7 +114,7 @@
 
     // An error closes the connection without the regular end of the body, so that the caller never
     // takes a partial response for a complete one.
-    async fn next(&mut self) -> Option<Result<Bytes, BodyFault>> {
+    async fn next(&mut self) -> Option<Result<Bytes, BoxError>> {
         if self.ended {
             return None;
         }
--- a/crates/gateway/src/ports/callers.rs
+++ b/crates/gateway/src/ports/callers.rs
@@ -29,7 +29,7 @@
 
     // The server uses one limit for the head and for an idle connection, so it is the longer of the two:
     // a caller may reuse a connection that was idle for most of the idle timeout.
-    fn head_timeout(&self) -> Option<Duration> {
+    fn header_timeout(&self) -> Option<Duration> {
         let limits = self.gateway.table.load().as_ref().map(|table| table.limits)?;
         Some(limits.idle_timeout.max(limits.head_timeout))
     }
