--- a/crates/gateway/src/adapter/wire.rs
+++ b/crates/gateway/src/adapter/wire.rs
@@ -79,7 +79,7 @@
     fn read_response(&self, head: &response::Parts) -> ResponseHead;
 
     /// Returns the headers of a response to the caller, from those of the backend server's response.
-    fn response_headers(&self, answer: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, response: &HeaderMap) -> HeaderMap;
 
     /// Returns the response that refuses a request or reports its failure.
     fn refusal(&self, refusal: Refusal) -> Response<()>;
@@ -88,5 +88,5 @@
     fn read_lookup(&self, head: &request::Parts) -> Option<String>;
 
     /// Returns the response to a lookup, with the addresses and the time for which they are valid.
-    fn addresses(&self, addresses: &[SocketAddr], keep: Duration) -> Response<Vec<u8>>;
+    fn addresses(&self, addresses: &[SocketAddr], ttl: Duration) -> Response<Vec<u8>>;
 }
--- a/crates/gateway/src/backends/backend.rs
+++ b/crates/gateway/src/backends/backend.rs
@@ -13,9 +13,9 @@
 };
 
 /// How long a load that another node reported is valid: four digests at 250 ms may be lost or late.
-const TOLD_FOR: Duration = Duration::from_millis(1_000);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The weight of a sample in the moving average of the slowness.
-const SLOWNESS_STEP: f64 = 0.1;
+const SLOWNESS_WEIGHT: f64 = 0.1;
 /// The bounds of one sample: unpredicted queueing is no property of the server.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 3.0);
 
@@ -41,16 +41,16 @@
     /// The prompt parts that this node recently sent to it.
     pub recent: RecentParts,
     /// The prompt parts that other nodes recently sent to it, as reported by themselves.
-    pub recent_near: RecentParts,
+    pub recent_direct: RecentParts,
     /// The prompt parts that other nodes recently sent to it, as reported by relays.
-    pub recent_far: RecentParts,
+    pub recent_relayed: RecentParts,
     /// The moving average of the ratio between actual and predicted time to the first token.
     pub slowness: f64,
     /// The load of this node's requests there.
     pub own: Load,
     /// Its connections.
     pub pool: Arc<Pool>,
-    told: HashMap<Incarnation, (Stamp, Load)>,
+    reported: HashMap<Incarnation, (Stamp, Load)>,
 }
 
 impl Backend {
@@ -67,41 +67,41 @@
             circuit_breaker: CircuitBreaker::default(),
             parts: CachedParts::default(),
             recent: RecentParts::default(),
-            recent_near: RecentParts::default(),
-            recent_far: RecentParts::default(),
+            recent_direct: RecentParts::default(),
+            recent_relayed: RecentParts::default(),
             slowness: 1.0,
             own: Load::default(),
-            told: HashMap::new(),
+            reported: HashMap::new(),
         }
     }
 
     /// Returns whether it accepts new work.
-    pub fn is_open(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.record.state == BackendState::Ready && !self.replaced
     }
 
     /// Notes the load that another node reported.
-    pub fn hear(&mut self, now: Stamp, node: Incarnation, load: Load) {
+    pub fn note_reported(&mut self, now: Stamp, node: Incarnation, load: Load) {
         // Each restart of a node has another incarnation; without this, entries would accumulate.
-        self.told.retain(|_, (at, _)| now.since(*at) < TOLD_FOR);
-        self.told.insert(node, (now, load));
+        self.reported.retain(|_, (at, _)| now.since(*at) < REPORT_TIMEOUT);
+        self.reported.insert(node, (now, load));
     }
 
     /// Drops the load that a node reported.
-    pub fn unhear(&mut self, node: Incarnation) {
-        self.told.remove(&node);
+    pub fn clear_reported(&mut self, node: Incarnation) {
+        self.reported.remove(&node);
     }
 
     /// Drops the loads that all other nodes reported.
-    pub fn unhear_all(&mut self) {
-        self.told.clear();
+    pub fn clear_all_reported(&mut self) {
+        self.reported.clear();
     }
 
     /// Returns the load of this node and of the other nodes for whose incarnations `counts` is true.
     pub fn load(&self, now: Stamp, counts: impl Fn(Incarnation) -> bool) -> Load {
         let mut sum = self.own;
-        for (life, (at, load)) in &self.told {
-            if now.since(*at) < TOLD_FOR && counts(*life) {
+        for (incarnation, (at, load)) in &self.reported {
+            if now.since(*at) < REPORT_TIMEOUT && counts(*incarnation) {
                 sum = sum.plus(*load);
             }
         }
@@ -110,31 +110,31 @@
 
     /// Returns the number of requests of all nodes there.
     pub fn requests(&self, now: Stamp) -> u32 {
-        self.own.requests + self.heard(now).map(|load| load.requests).sum::<u32>()
+        self.own.requests + self.valid_reports(now).map(|load| load.requests).sum::<u32>()
     }
 
     /// Returns the waiting tokens of all nodes there with a priority at least as urgent as `rank`.
     pub fn waiting_before(&self, now: Stamp, rank: u8) -> u64 {
-        let heard: u64 = self.heard(now).map(|load| load.waiting_before(rank)).sum();
-        self.own.waiting_before(rank) + heard
+        let others: u64 = self.valid_reports(now).map(|load| load.waiting_before(rank)).sum();
+        self.own.waiting_before(rank) + others
     }
 
     /// Returns the tokens of all nodes' requests in its KV cache.
     pub fn held(&self, now: Stamp) -> u64 {
-        let heard: u64 = self.heard(now).map(|load| u64::from(load.held)).sum();
-        u64::from(self.own.held) + heard
+        let others: u64 = self.valid_reports(now).map(|load| u64::from(load.held)).sum();
+        u64::from(self.own.held) + others
     }
 
     /// Notes the predicted and the actual time to a first token.
     pub fn note_first_token(&mut self, predicted: Duration, took: Duration) {
         let predicted = predicted.as_secs_f64().max(0.02);
-        let (least, most) = SLOWNESS_BOUNDS;
-        let seen = (took.as_secs_f64() / predicted).clamp(least, most);
-        self.slowness += (seen - self.slowness) * SLOWNESS_STEP;
+        let (min, max) = SLOWNESS_BOUNDS;
+        let sample = (took.as_secs_f64() / predicted).clamp(min, max);
+        self.slowness += (sample - self.slowness) * SLOWNESS_WEIGHT;
     }
 
-    fn heard(&self, now: Stamp) -> impl Iterator<Item = &Load> {
-        let fresh = self.told.values().filter(move |(at, _)| now.since(*at) < TOLD_FOR);
+    fn valid_reports(&self, now: Stamp) -> impl Iterator<Item = &Load> {
+        let fresh = self.reported.values().filter(move |(at, _)| now.since(*at) < REPORT_TIMEOUT);
         fresh.map(|(_, load)| load)
     }
 }
--- a/crates/gateway/src/backends/connection.rs
+++ b/crates/gateway/src/backends/connection.rs
@@ -44,16 +44,16 @@
 }
 
 impl Connection {
-    /// Opens a connection, which is counted in `open`; at most `most` may be open.
+    /// Opens a connection, which is counted in `open`; at most `max` may be open.
     pub async fn open(
         address: SocketAddr,
         open: Arc<AtomicU32>,
-        most: u32,
+        max: u32,
     ) -> Result<Connection, OpenError> {
-        if most <= open.load(Ordering::Relaxed) {
+        if max <= open.load(Ordering::Relaxed) {
             return Err(OpenError::Full);
         }
-        let counted = Counted::begin(open);
+        let counted = OpeningCount::begin(open);
         let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = opened.map_err(|_| OpenError::Unreachable)?;
         let stream = stream.map_err(|_| OpenError::Unreachable)?;
@@ -79,15 +79,15 @@
     }
 }
 
-/// A `Counted` counts a connection while it is being opened, even if the future is dropped meanwhile.
-struct Counted {
+/// An `OpeningCount` counts a connection while it is being opened, even if the future is dropped meanwhile.
+struct OpeningCount {
     open: Option<Arc<AtomicU32>>,
 }
 
-impl Counted {
-    fn begin(open: Arc<AtomicU32>) -> Counted {
+impl OpeningCount {
+    fn begin(open: Arc<AtomicU32>) -> OpeningCount {
         open.fetch_add(1, Ordering::Relaxed);
-        Counted { open: Some(open) }
+        OpeningCount { open: Some(open) }
     }
 
     fn keep(mut self) -> Arc<AtomicU32> {
@@ -95,7 +95,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpeningCount {
     fn drop(&mut self) {
         if let Some(open) = &self.open {
             open.fetch_sub(1, Ordering::Relaxed);
--- a/crates/gateway/src/backends/directory.rs
+++ b/crates/gateway/src/backends/directory.rs
@@ -13,16 +13,16 @@
 
 use crate::{
     adapter::{BackendRecord, BackendState},
-    backends::{Backend, RecordNews},
+    backends::{Backend, BackendUpdates},
     change_log::ChangeLog,
 };
 
 /// How long a record may stay missing after the key-value service recovers: live servers rewrite their
 /// expired records within two seconds.
-const MISSING_FOR: Duration = Duration::from_millis(2_200);
+const MISSING_GRACE: Duration = Duration::from_millis(2_200);
 
 /// The maximum number of tombstones of removed servers: enough for some minutes in the largest fleet.
-const GONE_KEPT: usize = 4_096;
+const MAX_TOMBSTONES: usize = 4_096;
 
 /// `Backends` are the backend servers that a node knows.
 #[derive(Debug, Default)]
@@ -30,17 +30,17 @@
     arena: SlotMap<WorkerKey, Backend>,
     names: HashMap<Arc<str>, WorkerKey>,
     /// The record changes since the start.
-    changes: ChangeLog<String, GONE_KEPT>,
+    changes: ChangeLog<String, MAX_TOMBSTONES>,
 }
 
 impl Backends {
     /// Adds or updates the record of a backend server.
     pub fn upsert(&mut self, name: &str, record: BackendRecord) {
         if let Some(backend) = self.named_mut(name) {
-            let same = backend.record.address == record.address
+            let same_incarnation = backend.record.address == record.address
                 && backend.record.service == record.service
                 && backend.record.born == record.born;
-            if same {
+            if same_incarnation {
                 backend.missing_until = None;
                 if backend.record == record {
                     return;
@@ -71,26 +71,26 @@
     }
 
     /// Returns the updates after the change `after`, or all records if the log does not reach back that far.
-    pub fn news(&self, after: u64) -> RecordNews {
-        let told = |backend: &Backend| (backend.name.to_string(), backend.record.clone());
+    pub fn updates_since(&self, after: u64) -> BackendUpdates {
+        let entry = |backend: &Backend| (backend.name.to_string(), backend.record.clone());
         let records = |after| {
             let changed = self.arena.values().filter(|backend| after < backend.changed_at);
-            changed.map(told).collect()
+            changed.map(entry).collect()
         };
-        self.changes.news(after, records, |name| self.names.contains_key(name.as_str()))
+        self.changes.updates_since(after, records, |name| self.names.contains_key(name.as_str()))
     }
 
     /// Applies updates from another node.
-    pub fn take_news(&mut self, news: RecordNews) {
-        let RecordNews { after, records, gone, .. } = news;
+    pub fn apply_updates(&mut self, updates: BackendUpdates) {
+        let BackendUpdates { after, records, removed, .. } = updates;
         if after == 0 {
-            let told: BTreeSet<&str> = records.iter().map(|(name, _)| name.as_str()).collect();
+            let listed: BTreeSet<&str> = records.iter().map(|(name, _)| name.as_str()).collect();
             let names: Vec<Arc<str>> = self.names.keys().cloned().collect();
-            for name in names.iter().filter(|name| !told.contains(&***name)) {
+            for name in names.iter().filter(|name| !listed.contains(&***name)) {
                 self.remove(name);
             }
         }
-        for name in gone {
+        for name in removed {
             self.remove(&name);
         }
         for (name, record) in records {
@@ -98,14 +98,14 @@
         }
     }
 
-    /// Notes that the record of a backend server is missing; `returned_at` is when the key-value
+    /// Notes that the record of a backend server is missing; `recovered_at` is when the key-value
     /// service last recovered from an outage.
     ///
     /// Records expire during an outage although their servers are alive. If they were removed, all
     /// servers would be lost at once. The grace period starts when the service recovers: a record that
     /// disappears after it is removed at once.
-    pub fn note_missing(&mut self, now: Stamp, name: &str, returned_at: Option<Stamp>) {
-        let until = returned_at.map(|returned_at| returned_at + MISSING_FOR);
+    pub fn note_missing(&mut self, now: Stamp, name: &str, recovered_at: Option<Stamp>) {
+        let until = recovered_at.map(|recovered_at| recovered_at + MISSING_GRACE);
         match (until, self.named_mut(name)) {
             (Some(until), Some(backend)) if now < until => backend.missing_until = Some(until),
             _ => self.remove(name),
@@ -117,15 +117,15 @@
         self.remove_missing(|until| until <= now);
     }
 
-    fn remove_missing(&mut self, is_over: impl Fn(Stamp) -> bool) {
-        let missing = |backend: &Backend| backend.missing_until.is_some_and(&is_over);
-        let gone: Vec<Arc<str>> = self
+    fn remove_missing(&mut self, is_expired: impl Fn(Stamp) -> bool) {
+        let missing = |backend: &Backend| backend.missing_until.is_some_and(&is_expired);
+        let expired: Vec<Arc<str>> = self
             .arena
             .values()
             .filter(|backend| missing(backend))
             .map(|backend| Arc::clone(&backend.name))
             .collect();
-        for name in gone {
+        for name in expired {
             self.remove(&name);
         }
     }
@@ -142,12 +142,12 @@
         &mut self,
         now: Stamp,
         listed: &BTreeSet<String>,
-        returned_at: Option<Stamp>,
+        recovered_at: Option<Stamp>,
     ) {
         let names: Vec<Arc<str>> = self.names.keys().cloned().collect();
         for name in names {
             if !listed.contains(&*name) {
-                self.note_missing(now, &name, returned_at);
+                self.note_missing(now, &name, recovered_at);
             }
         }
     }
@@ -156,7 +156,7 @@
     pub fn remove(&mut self, name: &str) {
         let Some(key) = self.names.remove(name) else { return };
         self.arena.remove(key);
-        self.changes.note_gone(name.to_owned());
+        self.changes.note_removed(name.to_owned());
         tracing::info!(event = Event::BackendGone.number(), backend = name);
     }
 
@@ -188,7 +188,7 @@
 
     /// Returns the servers of a service from whose prefix caches others can copy. This includes leaving
     /// servers, as their cached parts would be lost with them.
-    pub fn keeping<'a>(
+    pub fn copy_sources<'a>(
         &'a self,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = (WorkerKey, &'a Backend)> {
@@ -200,13 +200,13 @@
     }
 
     /// Returns the servers of a service that accept new work.
-    pub fn open<'a>(
+    pub fn accepting<'a>(
         &'a self,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = (WorkerKey, &'a Backend)> {
-        self.arena
-            .iter()
-            .filter(move |(_, backend)| backend.record.service == *service && backend.is_open())
+        self.arena.iter().filter(move |(_, backend)| {
+            backend.record.service == *service && backend.accepts_work()
+        })
     }
 }
 
--- a/crates/gateway/src/backends/mod.rs
+++ b/crates/gateway/src/backends/mod.rs
@@ -12,7 +12,7 @@
 pub use load::{Load, RANKS};
 pub use pool::Pool;
 
-use crate::{adapter::BackendRecord, change_log::News};
+use crate::{adapter::BackendRecord, change_log::Updates};
 
-/// `RecordNews` are updates of the records of backend servers.
-pub type RecordNews = News<String, BackendRecord>;
+/// `BackendUpdates` are updates of the records of backend servers.
+pub type BackendUpdates = Updates<String, BackendRecord>;
--- a/crates/gateway/src/backends/pool.rs
+++ b/crates/gateway/src/backends/pool.rs
@@ -11,7 +11,7 @@
 use crate::backends::{Connection, OpenError};
 
 /// The idle timeout of a connection if the backend server does not announce its own.
-const IDLE_UNTOLD: Duration = Duration::from_secs(3);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// How much earlier than the backend server this node closes an idle connection. A request that is sent
 /// while the server closes the connection is lost, and it is unknown whether it ran.
 const IDLE_MARGIN: Duration = Duration::from_millis(800);
@@ -36,19 +36,21 @@
         Pool { address, open: Arc::default(), idle: Mutex::default() }
     }
 
-    /// Returns the most recently used idle connection, or opens one; at most `most` may be open.
-    pub async fn take(&self, now: Stamp, most: u32) -> Result<Connection, OpenError> {
+    /// Returns the most recently used idle connection, or opens one; at most `max` may be open.
+    pub async fn take(&self, now: Stamp, max: u32) -> Result<Connection, OpenError> {
         if let Some(connection) = self.take_idle(now) {
             return Ok(connection);
         }
-        Connection::open(self.address, Arc::clone(&self.open), most).await
+        Connection::open(self.address, Arc::clone(&self.open), max).await
     }
 
     /// Returns a connection to the pool after its response has ended; `idle` is the server's idle timeout.
     pub fn keep(&self, now: Stamp, mut connection: Connection, idle: Option<Duration>) {
-        let for_how_long = idle.map_or(IDLE_UNTOLD, |idle| idle.saturating_sub(IDLE_MARGIN));
+        let idle_time = idle.map_or(DEFAULT_IDLE_TIMEOUT, |idle| idle.saturating_sub(IDLE_MARGIN));
         connection.reused = true;
-        self.lock(|kept| kept.push(Idle { connection, until: now + for_how_long }));
+        self.lock(|idle_connections| {
+            idle_connections.push(Idle { connection, until: now + idle_time })
+        });
     }
 
     /// Closes the idle connections: the cause that made one connection silent usually affects all.
@@ -57,11 +59,11 @@
     }
 
     fn take_idle(&self, now: Stamp) -> Option<Connection> {
-        self.lock(|kept| {
+        self.lock(|idle_connections| {
             // The most recently used one is taken, so that the others reach their idle timeout.
-            kept.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
-            let at = kept.iter().rposition(|idle| idle.connection.is_ready())?;
-            Some(kept.remove(at).connection)
+            idle_connections.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
+            let at = idle_connections.iter().rposition(|idle| idle.connection.is_ready())?;
+            Some(idle_connections.remove(at).connection)
         })
     }
 
--- a/crates/gateway/src/cluster/tell.rs
+++ b/crates/gateway/src/cluster/advertise.rs
@@ -8,25 +8,25 @@
 
 use crate::{
     clock,
-    cluster::{BackendLoad, Digest, DigestScope, HeardLife, as_millis},
+    cluster::{BackendLoad, Digest, DigestScope, LiveNode, as_millis},
     demand::Offered,
     gateway::{Gateway, State},
 };
 
 /// How long a prompt part is reported after it was sent: three of four digests may be lost.
-const PARTS_TOLD_FOR: Duration = Duration::from_millis(1_000);
+const PARTS_REPORTED_FOR: Duration = Duration::from_millis(1_000);
 /// How long a prompt part is reported when relays are in use: one of two digests may be lost.
-const PARTS_PASSED_ON_FOR: Duration = Duration::from_millis(450);
+const PARTS_RELAYED_FOR: Duration = Duration::from_millis(450);
 /// The number of rounds after which all usage windows are reported instead of only the newest.
-const ALL_WINDOWS_EACH: u64 = 8;
+const ALL_WINDOWS_INTERVAL: u64 = 8;
 /// The number of rounds after which relays report values that may be late.
-const LATE_NEWS_EACH: u64 = 4;
+const LATE_VALUES_INTERVAL: u64 = 4;
 /// The minimum quota per second that a team has to request to be reported.
-const ASKED_LEAST: f64 = 1.0;
+const MIN_REPORTED_DEMAND: f64 = 1.0;
 
-/// A `Message` is the kind of digest to create.
+/// A `DigestRequest` is the kind of digest to create.
 #[derive(Clone, Copy, Debug)]
-pub struct Message {
+pub struct DigestRequest {
     /// The nodes that it is about.
     pub scope: DigestScope,
     /// The nodes that the reply is to be about.
@@ -36,63 +36,63 @@
 }
 
 /// Returns a node's digest.
-pub fn digest(gateway: &Gateway, message: Message) -> Digest {
+pub fn build_digest(gateway: &Gateway, request: DigestRequest) -> Digest {
     let now = clock::now();
     let ready = gateway.is_ready();
     let revision = gateway.revision();
     gateway.with(|state| {
-        let Message { scope, reply_scope, .. } = message;
+        let DigestRequest { scope, reply_scope, .. } = request;
         let age = state.freshness.age(now);
         let unlisted = state.members.unlisted(now);
         let mut digest = Digest {
             record: Some(gateway.record()),
             unlisted: unlisted.map(|(name, record)| (name.clone(), record.clone())).collect(),
-            wall_clock_ms: as_millis(gateway.own_day()),
+            wall_clock_ms: as_millis(gateway.own_wall_clock()),
             ready,
             revision,
             config_age_ms: age.map(as_millis),
             records_steady_ms: state.records_steady_since.map(|since| as_millis(now.since(since))),
             scope,
             reply_scope,
-            records_known: state.relay_cursor(now).filter(|_| reply_scope == DigestScope::Others),
+            record_cursor: state.relay_cursor(now).filter(|_| reply_scope == DigestScope::Others),
             ..Digest::new(gateway.settings.gateway.name.clone(), gateway.incarnation)
         };
         if scope != DigestScope::Nothing {
-            let teller = Teller { gateway, now, message };
-            teller.fill(state, &mut digest);
+            let builder = DigestBuilder { gateway, now, request };
+            builder.fill(state, &mut digest);
         }
         digest
     })
 }
 
-struct Teller<'a> {
+struct DigestBuilder<'a> {
     gateway: &'a Gateway,
     now: Stamp,
-    message: Message,
+    request: DigestRequest,
 }
 
-impl Teller<'_> {
+impl DigestBuilder<'_> {
     fn fill(&self, state: &mut State, digest: &mut Digest) {
-        digest.heard = self.heard(state);
-        digest.nodes = u32::try_from(digest.heard.len() + 1).unwrap_or(u32::MAX);
+        digest.live_nodes = self.live_nodes(state);
+        digest.nodes = u32::try_from(digest.live_nodes.len() + 1).unwrap_or(u32::MAX);
         for (team, quota) in &state.quotas {
-            let told = match self.message.scope {
+            let report = match self.request.scope {
                 DigestScope::Zone => quota.zone_report(self.now),
                 DigestScope::Others => quota.report_excluding(self.now, self.receiver()),
                 DigestScope::Own | DigestScope::Nothing => quota.report(self.now),
             };
-            let QuotaReport { total, demand: asked } = told;
+            let QuotaReport { total, demand } = report;
             digest.quotas.push((team.clone(), total));
-            if ASKED_LEAST <= asked {
-                digest.asked.push((TeamName::clone(team), asked));
+            if MIN_REPORTED_DEMAND <= demand {
+                digest.quota_demands.push((TeamName::clone(team), demand));
             }
         }
         digest.loads = self.loads(state);
         digest.offered = self.offered(state);
         // The values of this node itself are reported in every round: nobody else knows them, so they
         // would be lost with it.
-        let is_own = self.message.scope == DigestScope::Own;
-        if is_own || state.exchanges.is_multiple_of(LATE_NEWS_EACH) {
+        let is_own = self.request.scope == DigestScope::Own;
+        if is_own || state.gossip_rounds.is_multiple_of(LATE_VALUES_INTERVAL) {
             digest.usage = self.usage(state);
             for (service, observed) in &state.observed {
                 digest
@@ -104,44 +104,46 @@
 
     // A digest for several nodes excludes none of them.
     fn receiver(&self) -> Incarnation {
-        self.message.to.unwrap_or_default()
+        self.request.to.unwrap_or_default()
     }
 
-    fn heard(&self, state: &State) -> Vec<HeardLife> {
-        let mut heard = Vec::new();
+    fn live_nodes(&self, state: &State) -> Vec<LiveNode> {
+        let mut live_nodes = Vec::new();
         let zone = &self.gateway.settings.gateway.zone;
         for (_, member) in state.members.iter() {
-            let life = member.record.incarnation;
-            let is_told = match self.message.scope {
-                DigestScope::Zone => member.record.zone == *zone && member.is_heard_here(self.now),
-                DigestScope::Others => life != self.receiver() && member.is_heard(self.now),
+            let incarnation = member.record.incarnation;
+            let is_included = match self.request.scope {
+                DigestScope::Zone => member.record.zone == *zone && member.is_live_direct(self.now),
+                DigestScope::Others => incarnation != self.receiver() && member.is_live(self.now),
                 DigestScope::Own | DigestScope::Nothing => false,
             };
-            let Some(at) = member.last_received.filter(|_| is_told) else { continue };
+            let Some(at) = member.last_received.filter(|_| is_included) else { continue };
             let age_ms = u16::try_from(as_millis(self.now.since(at))).unwrap_or(u16::MAX);
-            heard.push(HeardLife { life, ready: member.ready, age_ms });
+            live_nodes.push(LiveNode { incarnation, ready: member.ready, age_ms });
         }
-        heard
+        live_nodes
     }
 
     fn loads(&self, state: &mut State) -> Vec<BackendLoad> {
-        let (now, scope, receiver) = (self.now, self.message.scope, self.receiver());
+        let (now, scope, receiver) = (self.now, self.request.scope, self.receiver());
         let is_flat = state.relays.role == Role::Flat;
-        let told_for = if is_flat { PARTS_TOLD_FOR } else { PARTS_PASSED_ON_FOR };
+        let reported_for = if is_flat { PARTS_REPORTED_FOR } else { PARTS_RELAYED_FOR };
         let sources = &state.sources;
         let mut loads = Vec::new();
         for (_, backend) in state.backends.iter_mut() {
             let load = match scope {
-                DigestScope::Zone => backend.load(now, |life| !sources.contains(life)),
-                DigestScope::Others => backend.load(now, |life| life != receiver),
+                DigestScope::Zone => {
+                    backend.load(now, |incarnation| !sources.contains(incarnation))
+                }
+                DigestScope::Others => backend.load(now, |incarnation| incarnation != receiver),
                 DigestScope::Own | DigestScope::Nothing => backend.own,
             };
-            let mut parts: Vec<PromptPart> = backend.recent.updates(now, told_for);
+            let mut parts: Vec<PromptPart> = backend.recent.updates(now, reported_for);
             if matches!(scope, DigestScope::Zone | DigestScope::Others) {
-                parts.extend(backend.recent_near.updates(now, told_for));
+                parts.extend(backend.recent_direct.updates(now, reported_for));
             }
             if scope == DigestScope::Others {
-                parts.extend(backend.recent_far.updates(now, told_for));
+                parts.extend(backend.recent_relayed.updates(now, reported_for));
             }
             parts.sort_unstable_by_key(|part| part.id);
             parts.dedup_by_key(|part| part.id);
@@ -159,13 +161,15 @@
             sums.insert(service.clone(), demand.rate(self.now));
         }
         for (_, member) in state.members.iter() {
-            let life = member.record.incarnation;
-            let is_told = match self.message.scope {
-                DigestScope::Zone => member.record.zone == *zone && !state.sources.contains(life),
-                DigestScope::Others => life != self.receiver(),
+            let incarnation = member.record.incarnation;
+            let is_included = match self.request.scope {
+                DigestScope::Zone => {
+                    member.record.zone == *zone && !state.sources.contains(incarnation)
+                }
+                DigestScope::Others => incarnation != self.receiver(),
                 DigestScope::Own | DigestScope::Nothing => false,
             };
-            if !is_told {
+            if !is_included {
                 continue;
             }
             for (service, offered) in &member.offered {
@@ -177,17 +181,19 @@
     }
 
     fn usage(&self, state: &State) -> Vec<(Window, TeamCounts)> {
-        let rounds = match self.message.scope {
-            DigestScope::Own | DigestScope::Nothing => state.exchanges,
-            DigestScope::Zone | DigestScope::Others => state.exchanges / LATE_NEWS_EACH,
+        let rounds = match self.request.scope {
+            DigestScope::Own | DigestScope::Nothing => state.gossip_rounds,
+            DigestScope::Zone | DigestScope::Others => state.gossip_rounds / LATE_VALUES_INTERVAL,
         };
-        let is_for_all = rounds.is_multiple_of(ALL_WINDOWS_EACH);
-        let which = if is_for_all { WindowSelection::All } else { WindowSelection::Newest };
-        match self.message.scope {
-            DigestScope::Zone => state.usage.of_zone(&self.gateway.settings.gateway.zone, which),
-            DigestScope::Others => state.usage.of_others(self.receiver(), which),
+        let reports_all = rounds.is_multiple_of(ALL_WINDOWS_INTERVAL);
+        let selection = if reports_all { WindowSelection::All } else { WindowSelection::Newest };
+        match self.request.scope {
+            DigestScope::Zone => {
+                state.usage.of_zone(&self.gateway.settings.gateway.zone, selection)
+            }
+            DigestScope::Others => state.usage.of_others(self.receiver(), selection),
             DigestScope::Own | DigestScope::Nothing => {
-                state.usage.of(self.gateway.incarnation, which)
+                state.usage.of(self.gateway.incarnation, selection)
             }
         }
     }
--- a/crates/gateway/src/cluster/backends.rs
+++ b/crates/gateway/src/cluster/backends.rs
@@ -22,28 +22,28 @@
 struct BackendFollower {
     gateway: Arc<Gateway>,
     prefix: &'static str,
-    returned_at: Mutex<Option<Stamp>>,
+    recovered_at: Mutex<Option<Stamp>>,
 }
 
 /// Follows the records of backend servers forever.
 pub async fn follow_backends(gateway: Arc<Gateway>) {
     let prefix = gateway.platform.records.backend_prefix();
     let follower =
-        BackendFollower { gateway: Arc::clone(&gateway), prefix, returned_at: Mutex::default() };
+        BackendFollower { gateway: Arc::clone(&gateway), prefix, recovered_at: Mutex::default() };
     follow(gateway, prefix, WAIT, follower).await;
 }
 
 impl BackendFollower {
-    fn returned_at(&self) -> Option<Stamp> {
-        *self.returned_at.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn recovered_at(&self) -> Option<Stamp> {
+        *self.recovered_at.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn take(&self, change: &Change) -> Option<String> {
+    fn apply(&self, change: &Change) -> Option<String> {
         let name = change.key.strip_prefix(self.prefix)?;
         let now = clock::now();
-        let returned_at = self.returned_at();
+        let recovered_at = self.recovered_at();
         let Some(value) = change.value.as_ref().filter(|_| !change.removed) else {
-            self.gateway.with(|state| state.backends.note_missing(now, name, returned_at));
+            self.gateway.with(|state| state.backends.note_missing(now, name, recovered_at));
             return None;
         };
         match self.gateway.platform.records.read_backend(value) {
@@ -60,23 +60,23 @@
 }
 
 impl Follower for BackendFollower {
-    fn is_fed(&self) -> bool {
+    fn is_relayed(&self) -> bool {
         self.gateway.with(|state| state.relay_cursor(clock::now()).is_some())
     }
 
-    fn times_fed(&self) -> u64 {
-        self.gateway.with(|state| state.times_fed)
+    fn relayed_update_count(&self) -> u64 {
+        self.gateway.with(|state| state.relayed_update_count)
     }
 
-    fn fed(&self) {
+    fn relayed(&self) {
         // Records that come from a relay are no independent evidence of the key-value service's state.
         self.gateway.with(|state| state.records_steady_since = None);
     }
 
     fn regained(&self, now: Stamp) {
-        let mut returned_at =
-            self.returned_at.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        *returned_at = Some(now);
+        let mut recovered_at =
+            self.recovered_at.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        *recovered_at = Some(now);
         self.gateway.with(|state| state.records_steady_since = Some(now));
     }
 
@@ -84,20 +84,20 @@
         self.gateway.with(|state| state.records_steady_since = None);
     }
 
-    fn listed(&self, _asked: Stamp, changes: Vec<Change>) {
+    fn listed(&self, _requested_at: Stamp, changes: Vec<Change>) {
         let listed: BTreeSet<String> =
-            changes.iter().filter_map(|change| self.take(change)).collect();
-        let returned_at = self.returned_at();
+            changes.iter().filter_map(|change| self.apply(change)).collect();
+        let recovered_at = self.recovered_at();
         let now = clock::now();
         self.gateway.with(|state| {
-            state.backends.retain_listed(now, &listed, returned_at);
+            state.backends.retain_listed(now, &listed, recovered_at);
             state.records_steady_since.get_or_insert(now);
         });
     }
 
-    fn changed(&self, _moment: Stamp, changes: Vec<Change>) {
+    fn changed(&self, _known_at: Stamp, changes: Vec<Change>) {
         for change in &changes {
-            self.take(change);
+            self.apply(change);
         }
     }
 }
--- a/crates/gateway/src/cluster/config.rs
+++ b/crates/gateway/src/cluster/config.rs
@@ -29,7 +29,7 @@
 }
 
 /// Activates a configuration unless one at least as new is active; returns whether it can be parsed.
-pub fn take_config(gateway: &Gateway, document: &Bytes, source: &'static str) -> bool {
+pub fn activate_config(gateway: &Gateway, document: &Bytes, source: &'static str) -> bool {
     let table = match gateway.platform.records.read_config(document) {
         Ok(table) => table,
         Err(error) => {
@@ -56,27 +56,27 @@
 }
 
 impl ConfigFollower {
-    fn take(&self, moment: Stamp, changes: Vec<Change>) {
+    fn apply(&self, known_at: Stamp, changes: Vec<Change>) {
         let mut readable = true;
         for change in changes {
             let Some(value) = &change.value else { continue };
             if change.key == self.gateway.platform.records.config_key() {
-                readable &= take_config(&self.gateway, value, "key-value service");
+                readable &= activate_config(&self.gateway, value, "key-value service");
             }
         }
         if readable && self.gateway.table.load().is_some() {
-            self.gateway.with(|state| state.freshness.note(moment));
+            self.gateway.with(|state| state.freshness.note(known_at));
         }
     }
 }
 
 impl Follower for ConfigFollower {
-    fn is_fed(&self) -> bool {
+    fn is_relayed(&self) -> bool {
         let own = self.gateway.revision();
-        self.gateway.with(|state| state.is_config_fed(clock::now(), own))
+        self.gateway.with(|state| state.is_config_relayed(clock::now(), own))
     }
 
-    fn fed(&self) {
+    fn relayed(&self) {
         self.gateway.with(|state| state.config_lost = false);
     }
 
@@ -88,11 +88,11 @@
         self.gateway.with(|state| state.config_lost = true);
     }
 
-    fn listed(&self, asked: Stamp, changes: Vec<Change>) {
-        self.take(asked, changes);
+    fn listed(&self, requested_at: Stamp, changes: Vec<Change>) {
+        self.apply(requested_at, changes);
     }
 
-    fn changed(&self, moment: Stamp, changes: Vec<Change>) {
-        self.take(moment, changes);
+    fn changed(&self, known_at: Stamp, changes: Vec<Change>) {
+        self.apply(known_at, changes);
     }
 }
--- a/crates/gateway/src/cluster/digest.rs
+++ b/crates/gateway/src/cluster/digest.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    backends::{Load, RANKS, RecordNews},
-    cluster::{MemberNews, MemberRecord},
+    backends::{BackendUpdates, Load, RANKS},
+    cluster::{MemberRecord, MemberUpdates},
     demand::Offered,
 };
 
@@ -26,21 +26,21 @@
     Nothing,
 }
 
-/// A `HeardLife` is a node from which a relay receives digests.
+/// A `LiveNode` is a node from which a relay receives digests.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(into = "(Incarnation, bool, u16)")]
-pub struct HeardLife {
+pub struct LiveNode {
     /// Its incarnation.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Whether it serves callers.
     pub ready: bool,
     /// The time since its last digest, in milliseconds.
     pub age_ms: u16,
 }
 
-impl From<HeardLife> for (Incarnation, bool, u16) {
-    fn from(HeardLife { life, ready, age_ms }: HeardLife) -> Self {
-        (life, ready, age_ms)
+impl From<LiveNode> for (Incarnation, bool, u16) {
+    fn from(LiveNode { incarnation, ready, age_ms }: LiveNode) -> Self {
+        (incarnation, ready, age_ms)
     }
 }
 
@@ -101,13 +101,13 @@
     #[serde(default = "one")]
     pub nodes: u32,
     /// The nodes from which the sender receives digests, in an aggregated digest.
-    #[serde(default)]
-    pub heard: Vec<HeardLife>,
+    #[serde(default, rename = "heard")]
+    pub live_nodes: Vec<LiveNode>,
     /// The quota that each team has used since the start of the nodes.
     pub quotas: Vec<(TeamName, f64)>,
     /// The quota that each team requests per second; nodes of an earlier version do not send it.
-    #[serde(default)]
-    pub asked: Vec<(TeamName, f64)>,
+    #[serde(default, rename = "asked")]
+    pub quota_demands: Vec<(TeamName, f64)>,
     /// The loads of backend servers.
     pub loads: Vec<BackendLoad>,
     /// The requests started in each usage window.
@@ -117,11 +117,11 @@
     /// The sender's latency models of the engines of each service.
     pub paces: Vec<(ServiceName, EngineLatencyModel)>,
     /// The position of the sender, a member, in the records that a relay supplies.
-    #[serde(default)]
-    pub records_known: Option<RecordsKnown>,
+    #[serde(default, rename = "records_known")]
+    pub record_cursor: Option<RecordCursor>,
     /// The updates of these records, from a relay to a member.
     #[serde(default)]
-    pub records: Option<(RecordNews, MemberNews)>,
+    pub records: Option<(BackendUpdates, MemberUpdates)>,
 }
 
 impl Digest {
@@ -140,24 +140,25 @@
             scope: DigestScope::Own,
             reply_scope: DigestScope::Own,
             nodes: one(),
-            heard: Vec::new(),
+            live_nodes: Vec::new(),
             quotas: Vec::new(),
-            asked: Vec::new(),
+            quota_demands: Vec::new(),
             loads: Vec::new(),
             usage: Vec::new(),
             offered: Vec::new(),
             paces: Vec::new(),
-            records_known: None,
+            record_cursor: None,
             records: None,
         }
     }
 }
 
-/// A `RecordsKnown` is the position up to which a node has the record changes of a relay.
+/// A `RecordCursor` is the position up to which a node has the record changes of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RecordsKnown {
+pub struct RecordCursor {
     /// The incarnation of the relay.
-    pub by: Incarnation,
+    #[serde(rename = "by")]
+    pub relay: Incarnation,
     /// The number of the last change of backend servers.
     pub backends: u64,
     /// The number of the last change of nodes.
--- a/crates/gateway/src/cluster/follow.rs
+++ b/crates/gateway/src/cluster/follow.rs
@@ -16,26 +16,26 @@
 /// The purpose against whose call budget a follower's calls count.
 const RECORDS: Purpose = Purpose::Records;
 /// The base of the pause after a failed call: it is doubled at most twice, and jitter takes off up to half.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// The interval of checks whether relays still supply what is followed.
-const FED_LOOK: Duration = Duration::from_millis(100);
+const RELAYED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The duration of the first watch after a failure.
-const WAIT_FIRST: Duration = Duration::from_millis(100);
+const FIRST_WAIT: Duration = Duration::from_millis(100);
 /// The status of a watch whose start is no longer in the service's history.
 const HISTORY_GONE: u16 = 410;
 
 /// A `Follower` applies the keys and changes below a prefix.
 pub trait Follower: Send + Sync {
     /// Returns whether relays supply what is followed, so that the service need not be called.
-    fn is_fed(&self) -> bool {
+    fn is_relayed(&self) -> bool {
         false
     }
 
     /// Notes that relays supply what is followed.
-    fn fed(&self) {}
+    fn relayed(&self) {}
 
     /// Returns the number of updates that relays have supplied.
-    fn times_fed(&self) -> u64 {
+    fn relayed_update_count(&self) -> u64 {
         0
     }
 
@@ -45,11 +45,11 @@
     /// Notes that the service does not respond.
     fn lost(&self) {}
 
-    /// Applies a list of all keys, as they were at some moment after `asked`.
-    fn listed(&self, asked: Stamp, changes: Vec<Change>);
+    /// Applies a list of all keys, as they were at some moment after `requested_at`.
+    fn listed(&self, requested_at: Stamp, changes: Vec<Change>);
 
-    /// Applies changes; nothing else changed up to `moment`.
-    fn changed(&self, moment: Stamp, changes: Vec<Change>);
+    /// Applies changes; nothing else changed up to `known_at`.
+    fn changed(&self, known_at: Stamp, changes: Vec<Change>);
 }
 
 /// Follows the keys below `prefix` forever, with watches of the duration `wait`.
@@ -62,17 +62,17 @@
     let mut at: Option<Version> = None;
     let mut failures: u32 = 0;
     let mut budget = CallBudget::with_rates(clock::now(), [(RECORDS, RECORDS.rate())]);
-    let mut times_fed = 0;
+    let mut relayed_update_count = 0;
     loop {
-        if follower.is_fed() {
-            follower.fed();
+        if follower.is_relayed() {
+            follower.relayed();
             (at, failures) = (None, 0);
-            sleep(FED_LOOK).await;
+            sleep(RELAYED_CHECK_INTERVAL).await;
             continue;
         }
         // Updates from a relay may be ahead of a watch or behind it: only a new list is sure to be complete.
-        if follower.times_fed() != times_fed {
-            times_fed = follower.times_fed();
+        if follower.relayed_update_count() != relayed_update_count {
+            relayed_update_count = follower.relayed_update_count();
             at = None;
         }
         // The budget batches changes that come in quick succession, as when many backend servers start,
@@ -81,7 +81,7 @@
         while let Err(later) = budget.take(clock::now(), RECORDS) {
             sleep(later.since(clock::now())).await;
         }
-        let asked = clock::now();
+        let requested_at = clock::now();
         let answer = match at {
             None => gateway.platform.key_value.list(prefix).await,
             Some(after) => {
@@ -90,7 +90,7 @@
             }
         };
         // A relay's update arrived during the call; the response may be older and would undo it.
-        if follower.times_fed() != times_fed {
+        if follower.relayed_update_count() != relayed_update_count {
             continue;
         }
         match answer {
@@ -99,14 +99,14 @@
                     tracing::info!(event = Event::DependencyRegained.number(), prefix, failures);
                     follower.regained(clock::now());
                 }
-                let before = std::mem::take(&mut failures);
+                let earlier_failures = std::mem::take(&mut failures);
                 let first = at.is_none();
                 at = Some(found.version);
                 if first {
-                    follower.listed(asked, found.changes);
+                    follower.listed(requested_at, found.changes);
                 } else {
-                    let waited = wait_after(before, wait);
-                    follower.changed(moment(asked, waited, &found), found.changes);
+                    let waited = wait_after(earlier_failures, wait);
+                    follower.changed(known_at(requested_at, waited, &found), found.changes);
                 }
             }
             Err(error) if error.fault == (CallFault::Refused { status: HISTORY_GONE }) => at = None,
@@ -128,16 +128,16 @@
 // The first watch after a failure is short: the node has to learn quickly that the service has recovered,
 // because from then on expired records may be missing only for two seconds.
 fn wait_after(failures: u32, wait: Duration) -> Duration {
-    if failures == 0 { wait } else { WAIT_FIRST.min(wait) }
+    if failures == 0 { wait } else { FIRST_WAIT.min(wait) }
 }
 
 fn pause(failures: u32) -> Duration {
-    let full = PAUSE * (1 << failures.min(2));
+    let full = RETRY_PAUSE * (1 << failures.min(2));
     full.mul_f64(rand::rng().random_range(0.5..1.0))
 }
 
 // An empty response was made at the end of the wait, one with changes at any time after the call.
-fn moment(asked: Stamp, wait: Duration, found: &Changes) -> Stamp {
-    let waited = found.changes.is_empty() && wait <= clock::now().since(asked);
-    if waited { asked + wait } else { asked }
+fn known_at(requested_at: Stamp, wait: Duration, found: &Changes) -> Stamp {
+    let waited = found.changes.is_empty() && wait <= clock::now().since(requested_at);
+    if waited { requested_at + wait } else { requested_at }
 }
--- a/crates/gateway/src/cluster/members.rs
+++ b/crates/gateway/src/cluster/members.rs
@@ -9,15 +9,15 @@
 use bulrushhall_core::{Event, Incarnation, NodeName, ServiceName, Stamp, ZoneName};
 use serde::{Deserialize, Serialize};
 
-use crate::{change_log::ChangeLog, cluster::MemberNews, demand::Offered};
+use crate::{change_log::ChangeLog, cluster::MemberUpdates, demand::Offered};
 
 /// The heartbeat timeout of a node: four gossip intervals of 250 ms and a margin.
-const HEARD_FOR: Duration = Duration::from_millis(1_200);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// The time after which a node without a record in the key-value service is removed if it is silent.
-const UNLISTED_FOR: Duration = Duration::from_secs(3);
+const UNLISTED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The maximum number of tombstones of removed records.
-const GONE_KEPT: usize = 2_048;
+const MAX_TOMBSTONES: usize = 2_048;
 
 /// A `MemberRecord` is what a node writes into the key-value service about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,15 +44,15 @@
     /// When its last digest was received by this node or by a relay.
     pub last_received: Option<Stamp>,
     /// When its last digest was received by this node.
-    pub direct_at: Option<Stamp>,
+    pub last_direct: Option<Stamp>,
     /// Since when a reply to this node is pending.
     pub unanswered_since: Option<Stamp>,
     /// When another node last reported it as alive and without a record.
-    pub told_at: Option<Stamp>,
+    pub last_reported: Option<Stamp>,
     /// Whether it serves callers, by its last digest.
     pub ready: bool,
     /// The offset of its wall clock from this node's, in milliseconds.
-    pub day_ahead: Option<i64>,
+    pub clock_offset_ms: Option<i64>,
     /// The load that it, or the nodes that it aggregates, offers to the engines of each service.
     pub offered: BTreeMap<ServiceName, Offered>,
 }
@@ -61,11 +61,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     nodes: BTreeMap<NodeName, Member>,
-    lives: BTreeMap<Incarnation, NodeName>,
+    incarnations: BTreeMap<Incarnation, NodeName>,
     /// The changes of the nodes' records in the key-value service since the start.
-    changes: ChangeLog<NodeName, GONE_KEPT>,
+    changes: ChangeLog<NodeName, MAX_TOMBSTONES>,
     /// Whether this node's own record is not in the key-value service.
-    pub own_missing: bool,
+    pub own_record_missing: bool,
     /// Since when the key-value service has no record of a holder of the duties; none while there is a
     /// record, and before the first list.
     pub duty_free_since: Option<Stamp>,
@@ -78,25 +78,25 @@
             listed: false,
             changed_at: 0,
             last_received: None,
-            direct_at: None,
+            last_direct: None,
             unanswered_since: None,
-            told_at: None,
+            last_reported: None,
             ready: false,
-            day_ahead: None,
+            clock_offset_ms: None,
             offered: BTreeMap::new(),
         }
     }
 
     /// Notes a digest of the node itself.
-    pub fn note_message(&mut self, now: Stamp, ready: bool) {
+    pub fn note_digest(&mut self, now: Stamp, ready: bool) {
         self.last_received = Some(now);
-        self.direct_at = Some(now);
+        self.last_direct = Some(now);
         self.unanswered_since = None;
         self.ready = ready;
     }
 
     /// Notes that a relay received a digest of the node at `at`.
-    pub fn note_passed_on(&mut self, at: Stamp, ready: bool) {
+    pub fn note_relayed(&mut self, at: Stamp, ready: bool) {
         if self.last_received < Some(at) {
             self.last_received = Some(at);
             self.ready = ready;
@@ -104,13 +104,13 @@
     }
 
     /// Returns whether the node is alive: its last digest, also through a relay, is within the timeout.
-    pub fn is_heard(&self, now: Stamp) -> bool {
-        self.last_received.is_some_and(|at| now.since(at) < HEARD_FOR)
+    pub fn is_live(&self, now: Stamp) -> bool {
+        self.last_received.is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT)
     }
 
     /// Returns whether its last digest to this node itself is within the heartbeat timeout.
-    pub fn is_heard_here(&self, now: Stamp) -> bool {
-        self.direct_at.is_some_and(|at| now.since(at) < HEARD_FOR)
+    pub fn is_live_direct(&self, now: Stamp) -> bool {
+        self.last_direct.is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT)
     }
 
     /// Returns whether its reply has been pending for `longest` or longer.
@@ -121,7 +121,7 @@
 
 impl Members {
     /// Adds the record of a node from the key-value service.
-    pub fn list(&mut self, name: &NodeName, record: MemberRecord) {
+    pub fn note_listed(&mut self, name: &NodeName, record: MemberRecord) {
         let is_new =
             self.upsert(name, record, "key-value service").is_some_and(|node| !node.listed);
         if !is_new {
@@ -138,21 +138,21 @@
     /// The key-value service loses the records of nodes that can't reach it, and such nodes see no record
     /// that is written meanwhile. If the two sides did not know each other, a team would get its limit
     /// on each side, and usage reports would lack the requests of one side.
-    pub fn introduce(&mut self, name: &NodeName, record: MemberRecord) {
+    pub fn note_self_reported(&mut self, name: &NodeName, record: MemberRecord) {
         self.upsert(name, record, "itself");
     }
 
     /// Adds the record of a node that another node reports as alive.
-    pub fn note_told(&mut self, now: Stamp, name: &NodeName, record: MemberRecord) {
+    pub fn note_reported(&mut self, now: Stamp, name: &NodeName, record: MemberRecord) {
         if let Some(member) = self.upsert(name, record, "node") {
-            member.told_at = Some(now);
+            member.last_reported = Some(now);
         }
     }
 
     /// Returns the nodes that are alive and have no record in the key-value service.
     pub fn unlisted(&self, now: Stamp) -> impl Iterator<Item = (&NodeName, &MemberRecord)> {
-        let heard = self.nodes.iter().filter(move |(_, member)| member.is_heard_here(now));
-        heard.filter(|(_, member)| !member.listed).map(|(name, member)| (name, &member.record))
+        let live = self.nodes.iter().filter(move |(_, member)| member.is_live_direct(now));
+        live.filter(|(_, member)| !member.listed).map(|(name, member)| (name, &member.record))
     }
 
     // Returns the member with the record; none if a later incarnation of the node is known.
@@ -175,75 +175,75 @@
                 source
             );
             if let Some(known) = known {
-                self.lives.remove(&known.incarnation);
+                self.incarnations.remove(&known.incarnation);
             }
-            self.lives.insert(record.incarnation, name.clone());
+            self.incarnations.insert(record.incarnation, name.clone());
             self.nodes.insert(name.clone(), Member::new(record));
         }
         self.nodes.get_mut(name)
     }
 
     /// Notes that the record of a node was removed.
-    pub fn unlist(&mut self, name: &NodeName) {
+    pub fn note_unlisted(&mut self, name: &NodeName) {
         let Some(member) = self.nodes.get_mut(name).filter(|member| member.listed) else { return };
         member.listed = false;
-        self.changes.note_gone(name.clone());
+        self.changes.note_removed(name.clone());
     }
 
     /// Notes that the records of all nodes that are not in `listed` were removed.
     pub fn retain_listed(&mut self, listed: &BTreeSet<NodeName>) {
         let names: Vec<NodeName> = self.nodes.keys().cloned().collect();
         for name in names.iter().filter(|name| !listed.contains(*name)) {
-            self.unlist(name);
+            self.note_unlisted(name);
         }
     }
 
     /// Returns the updates after the change `after`, or all records if the log does not reach back that far.
-    pub fn news(&self, after: u64) -> MemberNews {
+    pub fn updates_since(&self, after: u64) -> MemberUpdates {
         let records = |after| {
             let listed = self.nodes.iter().filter(|(_, member)| member.listed);
             let changed = listed.filter(|(_, member)| after < member.changed_at);
             changed.map(|(name, member)| (name.clone(), member.record.clone())).collect()
         };
         let is_listed = |name: &NodeName| self.nodes.get(name).is_some_and(|node| node.listed);
-        self.changes.news(after, records, is_listed)
+        self.changes.updates_since(after, records, is_listed)
     }
 
-    /// Applies updates from the node `teller`; `own` is this node.
-    pub fn take_news(&mut self, news: MemberNews, teller: &NodeName, own: &NodeName) {
-        let MemberNews { after, records, gone, .. } = news;
+    /// Applies updates from the node `sender`; `own` is this node.
+    pub fn apply_updates(&mut self, updates: MemberUpdates, sender: &NodeName, own: &NodeName) {
+        let MemberUpdates { after, records, removed, .. } = updates;
         if after == 0 {
             let mut names: BTreeSet<NodeName> =
                 records.iter().map(|(name, _)| name.clone()).collect();
-            self.own_missing = !names.contains(own);
+            self.own_record_missing = !names.contains(own);
             // It does not report itself.
-            names.insert(teller.clone());
+            names.insert(sender.clone());
             self.retain_listed(&names);
         }
-        for name in gone {
-            self.own_missing |= name == *own;
-            self.unlist(&name);
+        for name in removed {
+            self.own_record_missing |= name == *own;
+            self.note_unlisted(&name);
         }
         for (name, record) in records {
             if name == *own {
-                self.own_missing = false;
+                self.own_record_missing = false;
                 continue;
             }
-            self.list(&name, record);
+            self.note_listed(&name, record);
         }
     }
 
     /// Removes nodes that have no record and are dead.
     pub fn expire(&mut self, now: Stamp) {
-        let lives = &mut self.lives;
+        let incarnations = &mut self.incarnations;
         self.nodes.retain(|name, member| {
-            let last = member.last_received.max(member.told_at);
-            let heard = last.is_some_and(|at| now.since(at) < UNLISTED_FOR);
-            if !member.listed && !heard {
+            let last = member.last_received.max(member.last_reported);
+            let live = last.is_some_and(|at| now.since(at) < UNLISTED_TIMEOUT);
+            if !member.listed && !live {
                 tracing::info!(event = Event::MemberLost.number(), node = %name);
-                lives.remove(&member.record.incarnation);
+                incarnations.remove(&member.record.incarnation);
             }
-            member.listed || heard
+            member.listed || live
         });
     }
 
@@ -258,12 +258,12 @@
     }
 
     /// Returns a mutable reference to the node with an incarnation.
-    pub fn life_mut(&mut self, life: Incarnation) -> Option<&mut Member> {
-        self.nodes.get_mut(self.lives.get(&life)?)
+    pub fn by_incarnation_mut(&mut self, incarnation: Incarnation) -> Option<&mut Member> {
+        self.nodes.get_mut(self.incarnations.get(&incarnation)?)
     }
 
     /// Drops the offered load of all nodes.
-    pub fn forget_offered(&mut self) {
+    pub fn clear_offered(&mut self) {
         self.nodes.values_mut().for_each(|member| member.offered.clear());
     }
 
@@ -273,8 +273,8 @@
     }
 
     /// Returns the offsets of the other nodes' wall clocks from this node's, in milliseconds.
-    pub fn days_ahead(&self) -> impl Iterator<Item = i64> {
-        self.nodes.values().filter_map(|member| member.day_ahead)
+    pub fn clock_offsets(&self) -> impl Iterator<Item = i64> {
+        self.nodes.values().filter_map(|member| member.clock_offset_ms)
     }
 
     /// Returns the number of all nodes, this one included.
@@ -284,17 +284,17 @@
 
     /// Returns the number of other nodes that are alive.
     pub fn live_count(&self, now: Stamp) -> usize {
-        self.nodes.values().filter(|member| member.is_heard(now)).count()
+        self.nodes.values().filter(|member| member.is_live(now)).count()
     }
 
     /// Returns whether an address is the one at which some node receives gossip.
-    pub fn has_port(&self, address: SocketAddr) -> bool {
+    pub fn has_peer_address(&self, address: SocketAddr) -> bool {
         self.nodes.values().any(|member| member.record.peers == address)
     }
 
     /// Returns whether an incarnation of a node is known.
     pub fn is_known(&self, incarnation: Incarnation) -> bool {
-        self.lives.contains_key(&incarnation)
+        self.incarnations.contains_key(&incarnation)
     }
 
     /// Returns the callers' addresses of the other nodes that serve.
@@ -302,10 +302,10 @@
     /// A node that receives no digests can't tell which nodes serve and returns all of them: callers try
     /// another address if one does not respond.
     pub fn serving(&self, now: Stamp) -> Vec<SocketAddr> {
-        let deaf = self.live_count(now) == 0;
+        let isolated = self.live_count(now) == 0;
         let mut addresses = Vec::new();
         for member in self.nodes.values() {
-            if deaf || (member.is_heard(now) && member.ready) {
+            if isolated || (member.is_live(now) && member.ready) {
                 addresses.push(member.record.callers);
             }
         }
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -19,7 +19,7 @@
 /// The prefix of all keys that every node watches.
 const PREFIX: &str = "bulrushhall/";
 /// The prefix of the records of nodes.
-const NODES: &str = "bulrushhall/nodes/";
+const NODE_PREFIX: &str = "bulrushhall/nodes/";
 /// The key of the holder of the duties.
 pub const DUTY_KEY: &str = "bulrushhall/duty";
 /// The duration of a watch.
@@ -27,11 +27,11 @@
 /// The time after which the record of a dead node expires.
 const RECORD_TTL: Duration = Duration::from_secs(6);
 /// The interval of renewals: two may fail before the record expires.
-const RENEW_EACH: Duration = Duration::from_secs(2);
+const RENEW_INTERVAL: Duration = Duration::from_secs(2);
 /// The number of attempts to write a record whose version changes concurrently.
-const TRIES: usize = 4;
+const MAX_WRITE_ATTEMPTS: usize = 4;
 /// The pause after a failed write.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 struct MemberFollower {
     gateway: Arc<Gateway>,
@@ -48,7 +48,7 @@
     let mut lease: Option<LeaseId> = None;
     while gateway.phase() == Phase::Serving {
         // The record may have been removed although its lease is still valid.
-        let missing = gateway.with(|state| state.members.own_missing);
+        let missing = gateway.with(|state| state.members.own_record_missing);
         let kept = match lease {
             Some(held) if !missing => gateway.platform.key_value.renew(held).await.map(|()| held),
             _ => write(&gateway).await,
@@ -56,21 +56,21 @@
         match kept {
             Ok(held) => {
                 lease = Some(held);
-                pause_until_missing(&gateway).await;
+                wait_for_renewal(&gateway).await;
             }
             // Whether the lease expired or could not be renewed, a new one is safe.
             Err(_) => {
                 lease = None;
-                sleep(PAUSE).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-async fn pause_until_missing(gateway: &Gateway) {
-    let until = clock::now() + RENEW_EACH;
-    while clock::now() < until && !gateway.with(|state| state.members.own_missing) {
-        sleep(PAUSE).await;
+async fn wait_for_renewal(gateway: &Gateway) {
+    let until = clock::now() + RENEW_INTERVAL;
+    while clock::now() < until && !gateway.with(|state| state.members.own_record_missing) {
+        sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -78,14 +78,14 @@
     let kv = &gateway.platform.key_value;
     let encoded = rmp_serde::to_vec_named(&gateway.record());
     let value = encoded.map(Bytes::from).unwrap_or_else(|_| unreachable!("a plain record"));
-    let key = format!("{NODES}{}", gateway.settings.gateway.name);
+    let key = format!("{NODE_PREFIX}{}", gateway.settings.gateway.name);
     let lease = kv.grant(RECORD_TTL).await?;
     let mut expected = Version(0);
     // The record of an earlier incarnation may still exist, and may expire between two attempts.
-    for _ in 0..TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match kv.put_if(&key, expected, value.clone(), Some(lease)).await? {
             CasOutcome::Written(_) => {
-                gateway.with(|state| state.members.own_missing = false);
+                gateway.with(|state| state.members.own_record_missing = false);
                 return Ok(lease);
             }
             CasOutcome::Conflict(found) => expected = found.version,
@@ -95,23 +95,23 @@
 }
 
 impl MemberFollower {
-    fn take(&self, change: &Change) -> Option<NodeName> {
+    fn apply(&self, change: &Change) -> Option<NodeName> {
         let present = change.value.as_ref().filter(|_| !change.removed);
         if change.key == DUTY_KEY {
             self.note_duty(present.is_some());
             return None;
         }
-        let name = NodeName::new(change.key.strip_prefix(NODES)?).ok()?;
+        let name = NodeName::new(change.key.strip_prefix(NODE_PREFIX)?).ok()?;
         if name == self.gateway.settings.gateway.name {
-            self.gateway.with(|state| state.members.own_missing = present.is_none());
+            self.gateway.with(|state| state.members.own_record_missing = present.is_none());
             return present.map(|_| name);
         }
         let Some(value) = present else {
-            self.gateway.with(|state| state.members.unlist(&name));
+            self.gateway.with(|state| state.members.note_unlisted(&name));
             return None;
         };
         let record: MemberRecord = rmp_serde::from_slice(value).ok()?;
-        self.gateway.with(|state| state.members.list(&name, record));
+        self.gateway.with(|state| state.members.note_listed(&name, record));
         Some(name)
     }
 
@@ -123,33 +123,33 @@
 }
 
 impl Follower for MemberFollower {
-    fn is_fed(&self) -> bool {
+    fn is_relayed(&self) -> bool {
         self.gateway.with(|state| state.relay_cursor(clock::now()).is_some())
     }
 
-    fn times_fed(&self) -> u64 {
-        self.gateway.with(|state| state.times_fed)
+    fn relayed_update_count(&self) -> u64 {
+        self.gateway.with(|state| state.relayed_update_count)
     }
 
-    fn fed(&self) {
+    fn relayed(&self) {
         // Relays do not report the holder of the duties.
         self.gateway.with(|state| state.members.duty_free_since = None);
     }
 
-    fn listed(&self, _asked: Stamp, changes: Vec<Change>) {
+    fn listed(&self, _requested_at: Stamp, changes: Vec<Change>) {
         self.note_duty(changes.iter().any(|change| change.key == DUTY_KEY));
         let listed: BTreeSet<NodeName> =
-            changes.iter().filter_map(|change| self.take(change)).collect();
+            changes.iter().filter_map(|change| self.apply(change)).collect();
         let own = &self.gateway.settings.gateway.name;
         self.gateway.with(|state| {
-            state.members.own_missing = !listed.contains(own);
+            state.members.own_record_missing = !listed.contains(own);
             state.members.retain_listed(&listed);
         });
     }
 
-    fn changed(&self, _moment: Stamp, changes: Vec<Change>) {
+    fn changed(&self, _known_at: Stamp, changes: Vec<Change>) {
         for change in &changes {
-            self.take(change);
+            self.apply(change);
         }
     }
 }
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -4,30 +4,30 @@
 
 use bulrushhall_core::NodeName;
 
-use crate::change_log::News;
+use crate::change_log::Updates;
 
+mod advertise;
 mod backends;
 mod config;
 mod digest;
-mod exchange;
 mod follow;
-mod hear;
+mod gossip;
 mod members;
 mod membership;
 mod peer_port;
-mod tell;
+mod receive;
 
 pub use backends::follow_backends;
-pub use config::{follow_config, take_config};
-pub use digest::{BackendLoad, Digest, DigestScope, Document, HeardLife, RecordsKnown};
-pub use exchange::exchange;
+pub use config::{activate_config, follow_config};
+pub use digest::{BackendLoad, Digest, DigestScope, Document, LiveNode, RecordCursor};
 pub use follow::{Follower, follow};
+pub use gossip::gossip;
 pub use members::{Member, MemberRecord, Members};
 pub use membership::{DUTY_KEY, follow_members, register};
 pub use peer_port::PeerPort;
 
-/// `MemberNews` are updates of the records of nodes in the key-value service.
-pub type MemberNews = News<NodeName, MemberRecord>;
+/// `MemberUpdates` are updates of the records of nodes in the key-value service.
+pub type MemberUpdates = Updates<NodeName, MemberRecord>;
 
 fn as_millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
--- a/crates/gateway/src/cluster/peer_port.rs
+++ b/crates/gateway/src/cluster/peer_port.rs
@@ -10,13 +10,16 @@
 use serde::Serialize;
 
 use crate::{
-    backends::RecordNews,
+    backends::BackendUpdates,
     clock,
     cluster::{
-        Digest, DigestScope, Document, MemberNews, RecordsKnown,
-        exchange::{ANSWER, DIGEST_PATH, DOCUMENT_PATH, MESSAGE_LIMIT, endpoint, read_document},
-        hear::hear,
-        tell::{Message, digest},
+        Digest, DigestScope, Document, MemberUpdates, RecordCursor,
+        advertise::{DigestRequest, build_digest},
+        gossip::{
+            DIGEST_PATH, DOCUMENT_PATH, MAX_MESSAGE_BYTES, RESPONSE_TIMEOUT, endpoint,
+            fetch_document,
+        },
+        receive::receive_digest,
     },
     gateway::Gateway,
 };
@@ -32,17 +35,18 @@
         PeerPort { gateway }
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Response<Body> {
+    async fn respond(&self, req: Request<Incoming>) -> Response<Body> {
         let path = req.uri().path().to_owned();
-        let Ok(body) = read_limited(req.into_body(), MESSAGE_LIMIT, ANSWER).await else {
+        let Ok(body) = read_limited(req.into_body(), MAX_MESSAGE_BYTES, RESPONSE_TIMEOUT).await
+        else {
             return refuse(StatusCode::BAD_REQUEST);
         };
         match path.as_str() {
             DIGEST_PATH => {
-                let Ok(told) = rmp_serde::from_slice::<Digest>(&body) else {
+                let Ok(digest) = rmp_serde::from_slice::<Digest>(&body) else {
                     return refuse(StatusCode::BAD_REQUEST);
                 };
-                self.exchange(told)
+                self.exchange(digest)
             }
             DOCUMENT_PATH => {
                 let table = self.gateway.table.load_full();
@@ -53,44 +57,50 @@
         }
     }
 
-    fn exchange(&self, told: Digest) -> Response<Body> {
-        let (reply_scope, asker, known) = (told.reply_scope, told.incarnation, told.records_known);
+    fn exchange(&self, digest: Digest) -> Response<Body> {
+        let (reply_scope, requester, cursor) =
+            (digest.reply_scope, digest.incarnation, digest.record_cursor);
         if reply_scope == DigestScope::Others {
-            self.gateway.with(|state| state.relay_asked_at = Some(clock::now()));
+            self.gateway.with(|state| state.contacted_as_relay_at = Some(clock::now()));
         }
-        if let Some(reading) = hear(&self.gateway, None, told) {
-            let endpoint = endpoint(reading.address);
-            tokio::spawn(async move { read_document(reading, &endpoint).await });
+        if let Some(fetch) = receive_digest(&self.gateway, None, digest) {
+            let endpoint = endpoint(fetch.address);
+            tokio::spawn(async move { fetch_document(fetch, &endpoint).await });
         }
-        let answer =
-            Message { scope: reply_scope, reply_scope: DigestScope::Nothing, to: Some(asker) };
-        let mut answer = digest(&self.gateway, answer);
+        let request = DigestRequest {
+            scope: reply_scope,
+            reply_scope: DigestScope::Nothing,
+            to: Some(requester),
+        };
+        let mut reply = build_digest(&self.gateway, request);
         if reply_scope == DigestScope::Others {
-            answer.records = self.records(known);
+            reply.records = self.records(cursor);
         }
-        encoded(&answer)
+        encoded(&reply)
     }
 }
 
 impl PeerPort {
     // Returns the record updates for a member without a relay, or with this node as its relay.
-    fn records(&self, known: Option<RecordsKnown>) -> Option<(RecordNews, MemberNews)> {
+    fn records(&self, cursor: Option<RecordCursor>) -> Option<(BackendUpdates, MemberUpdates)> {
         let own = self.gateway.incarnation;
-        let (backends, members) = match known {
+        let (backends, members) = match cursor {
             None => (0, 0),
-            Some(known) if known.by == own => (known.backends, known.members),
+            Some(cursor) if cursor.relay == own => (cursor.backends, cursor.members),
             Some(_) => return None,
         };
         self.gateway.with(|state| {
             let follows = state.records_steady_since.is_some();
-            follows.then(|| (state.backends.news(backends), state.members.news(members)))
+            follows.then(|| {
+                (state.backends.updates_since(backends), state.members.updates_since(members))
+            })
         })
     }
 }
 
 impl Handler for PeerPort {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        Box::pin(async move { self.answer(req).await })
+        Box::pin(async move { self.respond(req).await })
     }
 }
 
@@ -102,7 +112,7 @@
 }
 
 fn refuse(status: StatusCode) -> Response<Body> {
-    let mut answer = Response::new(empty());
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(empty());
+    *response.status_mut() = status;
+    response
 }
--- /dev/null
+++ b/crates/gateway/src/cluster/receive.rs
@@ -0,0 +1,263 @@
+//! Processing of received digests.
+
+use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
+
+use bulrushhall_coord::{Role, SourceChoice, UpdateScope, usage::UsageScope};
+use bulrushhall_core::{Event, Incarnation, Stamp, TeamName, ZoneName};
+use bulrushhall_policy::quota::QuotaReport;
+
+use crate::{
+    backends::BackendUpdates,
+    clock,
+    cluster::{BackendLoad, Digest, DigestScope, LiveNode, MemberUpdates, RecordCursor, as_millis},
+    gateway::{Gateway, State},
+    meters,
+    table::RouteTable,
+};
+
+/// How long another node must have followed the records of backend servers without a failure to prove
+/// that the key-value service had no outage: twice the time in which expired records are rewritten.
+const MIN_STEADY: Duration = Duration::from_secs(4);
+/// The head start of the key-value service over other nodes in the delivery of a newer configuration,
+/// besides the transfer time.
+const KEY_VALUE_HEAD_START: Duration = Duration::from_millis(500);
+/// The bytes of a configuration for which the key-value service gets another second.
+const KEY_VALUE_BYTES_PER_S: f64 = 1_000_000.0;
+
+/// A `DocumentFetch` is the permission to fetch a configuration from another node; there is one at a time.
+pub struct DocumentFetch {
+    /// The node that fetches.
+    pub gateway: Arc<Gateway>,
+    /// The address of the node that is read from.
+    pub address: SocketAddr,
+}
+
+impl Drop for DocumentFetch {
+    fn drop(&mut self) {
+        self.gateway.with(|state| state.catch_up.end());
+    }
+}
+
+/// Applies a digest, which was made no earlier than `since` if that is known; returns the fetch of the
+/// sender's configuration if one is due.
+pub fn receive_digest(
+    gateway: &Arc<Gateway>,
+    since: Option<Stamp>,
+    mut digest: Digest,
+) -> Option<DocumentFetch> {
+    let now = clock::now();
+    let own = gateway.revision();
+    let table = gateway.table.load_full();
+    let document = table.as_ref().map(|table| table.document.len());
+    gateway.with(|state| {
+        let name = &gateway.settings.gateway.name;
+        if let Some(record) = digest.record.take() {
+            state.members.note_self_reported(&digest.node, record);
+        }
+        for (other, record) in digest.unlisted.drain(..).filter(|(other, _)| other != name) {
+            state.members.note_reported(now, &other, record);
+        }
+        let Some(member) = state.members.get_mut(&digest.node) else {
+            meters::digest_ignored("unknown");
+            return None;
+        };
+        if digest.incarnation < member.record.incarnation {
+            meters::digest_ignored("earlier_life");
+            return None;
+        }
+        member.note_digest(now, digest.ready);
+        member.clock_offset_ms =
+            Some(digest.wall_clock_ms as i64 - as_millis(gateway.own_wall_clock()) as i64);
+        let address = member.record.peers;
+        let zone = member.record.zone.clone();
+        // Only a node with the same revision proves the age of this node's configuration, and only in a
+        // reply: the transit time of a request is not known.
+        if let (Some(since), Some(age)) = (since, digest.config_age_ms)
+            && digest.revision == own
+        {
+            state.freshness.note(since - Duration::from_millis(age));
+        }
+        let steady = digest.records_steady_ms.map(Duration::from_millis);
+        if steady.is_some_and(|steady| MIN_STEADY <= steady) {
+            state.backends.drop_missing();
+        }
+        let revision = digest.revision;
+        let received = ReceivedDigest { gateway, now, zone, table: table.as_deref() };
+        received.apply(state, digest);
+        state.catch_up.observe(now, own, revision);
+        let head_start = document.map_or(Duration::ZERO, head_start);
+        let head_start = if state.config_lost { Duration::ZERO } else { head_start };
+        let is_due = state.catch_up.begin(now, own, revision, head_start);
+        is_due.then(|| DocumentFetch { gateway: Arc::clone(gateway), address })
+    })
+}
+
+/// One received digest.
+struct ReceivedDigest<'a> {
+    gateway: &'a Gateway,
+    now: Stamp,
+    /// The sender's availability zone.
+    zone: ZoneName,
+    table: Option<&'a RouteTable>,
+}
+
+impl ReceivedDigest<'_> {
+    fn apply(&self, state: &mut State, mut digest: Digest) {
+        for (service, pace) in &digest.paces {
+            state.observed(service).engines.receive(*pace);
+        }
+        if digest.scope == DigestScope::Nothing {
+            return;
+        }
+        self.apply_usage(state, &digest);
+        if let Some(updates) = digest.records.take() {
+            self.apply_records(state, &digest, updates);
+        }
+        if !self.is_source(state, &digest) {
+            return;
+        }
+        self.apply_live_nodes(state, &digest.live_nodes);
+        self.apply_quotas(state, &digest);
+        if let Some(member) = state.members.get_mut(&digest.node) {
+            member.offered = digest.offered.iter().cloned().collect();
+        }
+        drop_loads(state, digest.incarnation);
+        let is_aggregate = digest.scope != DigestScope::Own;
+        for load in digest.loads {
+            self.apply_load(state, digest.incarnation, is_aggregate, load);
+        }
+    }
+
+    // Whether the loads and counts of the digest are applied: each request must count only once.
+    fn is_source(&self, state: &mut State, digest: &Digest) -> bool {
+        let is_same_zone = self.zone == self.gateway.settings.gateway.zone;
+        let scope = match (digest.scope, state.relays.role) {
+            (DigestScope::Own, Role::Flat) => return true,
+            (DigestScope::Own, Role::Relay) => return is_same_zone,
+            (DigestScope::Zone, Role::Relay) if !is_same_zone => {
+                UpdateScope::Zone(self.zone.clone())
+            }
+            (DigestScope::Others, Role::Flat | Role::Member) => UpdateScope::Others,
+            _ => return false,
+        };
+        match state.sources.offer(self.now, scope, digest.incarnation, digest.nodes) {
+            SourceChoice::Ignored => false,
+            SourceChoice::Accepted { previous } => {
+                if let Some(previous) = previous {
+                    tracing::info!(
+                        event = Event::SourceChanged.number(),
+                        node = %digest.node,
+                        nodes = digest.nodes,
+                        before = previous.0
+                    );
+                    drop_source(state, previous);
+                }
+                true
+            }
+        }
+    }
+
+    fn apply_records(
+        &self,
+        state: &mut State,
+        digest: &Digest,
+        (backends, members): (BackendUpdates, MemberUpdates),
+    ) {
+        if state.relays.role != Role::Member {
+            return;
+        }
+        // A late reply may hold older records than those known.
+        let fits = match state.relay_cursor(self.now) {
+            None => backends.after == 0 && members.after == 0,
+            Some(cursor) => {
+                let continues = |after, known, at| after <= known && known <= at;
+                cursor.relay == digest.incarnation
+                    && continues(backends.after, cursor.backends, backends.at)
+                    && continues(members.after, cursor.members, members.at)
+            }
+        };
+        if !fits {
+            return;
+        }
+        let relay = digest.incarnation;
+        let cursor = RecordCursor { relay, backends: backends.at, members: members.at };
+        state.backends.apply_updates(backends);
+        state.members.apply_updates(members, &digest.node, &self.gateway.settings.gateway.name);
+        state.relayed_records = Some((cursor, self.now));
+        state.relayed_update_count += 1;
+    }
+
+    fn apply_usage(&self, state: &mut State, digest: &Digest) {
+        let of = match digest.scope {
+            DigestScope::Own => UsageScope::Incarnation(digest.incarnation, &self.zone),
+            DigestScope::Zone => UsageScope::Zone(&self.zone),
+            DigestScope::Others => UsageScope::Others,
+            DigestScope::Nothing => return,
+        };
+        for (window, counts) in &digest.usage {
+            state.usage.merge(*window, of, counts);
+        }
+    }
+
+    fn apply_live_nodes(&self, state: &mut State, live_nodes: &[LiveNode]) {
+        for LiveNode { incarnation, ready, age_ms } in live_nodes {
+            let at = self.now - Duration::from_millis((*age_ms).into());
+            if let Some(member) = state.members.by_incarnation_mut(*incarnation) {
+                member.note_relayed(at, *ready);
+            }
+        }
+    }
+
+    fn apply_quotas(&self, state: &mut State, digest: &Digest) {
+        let demands: HashMap<&TeamName, f64> =
+            digest.quota_demands.iter().map(|(team, demand)| (team, *demand)).collect();
+        for (team, total) in &digest.quotas {
+            let demand = demands.get(team).copied().unwrap_or(0.0);
+            let report = QuotaReport { total: *total, demand };
+            let quota = state.quota(team);
+            match digest.scope {
+                DigestScope::Own => quota.receive(self.now, digest.incarnation, report),
+                _ => quota.receive_sum(self.now, digest.incarnation, report, digest.nodes),
+            }
+        }
+    }
+
+    fn apply_load(
+        &self,
+        state: &mut State,
+        incarnation: Incarnation,
+        is_aggregate: bool,
+        reported: BackendLoad,
+    ) {
+        let BackendLoad { backend, load, parts } = reported;
+        let Some(backend) = state.backends.named_mut(&backend) else { return };
+        backend.note_reported(self.now, incarnation, load);
+        let service = self.table.and_then(|table| table.services.get(&backend.record.service));
+        let Some(sizes) = service.and_then(|service| service.engine) else { return };
+        backend.parts.note(self.now, &parts, sizes.prefix_cache_tokens());
+        let recent =
+            if is_aggregate { &mut backend.recent_relayed } else { &mut backend.recent_direct };
+        recent.note(self.now, &parts);
+    }
+}
+
+fn drop_loads(state: &mut State, incarnation: Incarnation) {
+    for (_, backend) in state.backends.iter_mut() {
+        backend.clear_reported(incarnation);
+    }
+}
+
+// Drops the loads and counts of a source that another relay replaces.
+fn drop_source(state: &mut State, incarnation: Incarnation) {
+    drop_loads(state, incarnation);
+    if let Some(member) = state.members.by_incarnation_mut(incarnation) {
+        member.offered.clear();
+    }
+    for quota in state.quotas.values_mut() {
+        quota.retain(|peer| peer != incarnation);
+    }
+}
+
+fn head_start(document: usize) -> Duration {
+    KEY_VALUE_HEAD_START + Duration::from_secs_f64(document as f64 / KEY_VALUE_BYTES_PER_S)
+}
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -8,12 +8,12 @@
 
 /// The time constant of the demand's moving average: longer than a burst of a few requests, shorter than
 /// the start of an engine.
-const AVERAGED_OVER: Duration = Duration::from_secs(3);
+const AVERAGING_TIME: Duration = Duration::from_secs(3);
 /// The minimum time between two updates of the moving average.
-const TAKEN_EACH: Duration = Duration::from_millis(200);
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 /// The fraction of an engine's batch that is planned to be full: half, so that there are free slots for a
 /// burst or when the engines of a zone are reclaimed.
-const BATCH_SHARE: f64 = 0.5;
+const PLANNED_BATCH_FRACTION: f64 = 0.5;
 
 /// An `Offered` is the load that is offered to the engines of a service in a second.
 ///
@@ -33,9 +33,9 @@
     }
 
     /// Returns the number of engines that it keeps busy.
-    pub fn busy(self, pace: &EngineLatencyModel, slots: u32) -> f64 {
-        let batch = (f64::from(slots) * BATCH_SHARE).max(1.0);
-        (pace.prefill_ms(self.read) + pace.decode_work_ms(self.answer, batch)) / 1_000.0
+    pub fn busy_engines(self, model: &EngineLatencyModel, slots: u32) -> f64 {
+        let batch = (f64::from(slots) * PLANNED_BATCH_FRACTION).max(1.0);
+        (model.prefill_ms(self.read) + model.decode_work_ms(self.answer, batch)) / 1_000.0
     }
 }
 
@@ -44,32 +44,32 @@
 pub struct Demand {
     rate: Offered,
     sent: Offered,
-    taken_at: Stamp,
+    updated_at: Stamp,
 }
 
 impl Demand {
     /// Notes a request.
     pub fn note(&mut self, now: Stamp, work: Offered) {
-        self.take(now);
+        self.update(now);
         self.sent = self.sent.plus(work);
     }
 
     /// Returns the load per second.
     pub fn rate(&mut self, now: Stamp) -> Offered {
-        self.take(now);
+        self.update(now);
         self.rate
     }
 
-    fn take(&mut self, now: Stamp) {
-        let passed = now.since(self.taken_at);
-        if passed < TAKEN_EACH {
+    fn update(&mut self, now: Stamp) {
+        let passed = now.since(self.updated_at);
+        if passed < MIN_UPDATE_INTERVAL {
             return;
         }
-        let weight = 1.0 - (-passed.as_secs_f64() / AVERAGED_OVER.as_secs_f64()).exp();
-        let moved = |rate: f64, sent: f64| rate + (sent / passed.as_secs_f64() - rate) * weight;
-        self.rate.read = moved(self.rate.read, self.sent.read);
-        self.rate.answer = moved(self.rate.answer, self.sent.answer);
+        let weight = 1.0 - (-passed.as_secs_f64() / AVERAGING_TIME.as_secs_f64()).exp();
+        let averaged = |rate: f64, sent: f64| rate + (sent / passed.as_secs_f64() - rate) * weight;
+        self.rate.read = averaged(self.rate.read, self.sent.read);
+        self.rate.answer = averaged(self.rate.answer, self.sent.answer);
         self.sent = Offered::default();
-        self.taken_at = now;
+        self.updated_at = now;
     }
 }
--- a/crates/gateway/src/duties/fleet.rs
+++ b/crates/gateway/src/duties/fleet.rs
@@ -19,7 +19,7 @@
 
 /// The fraction of an engine's KV cache that the plan gives to running requests; the rest is for the
 /// prefixes that prompts share.
-const MEMORY_SHARE: f64 = 0.7;
+const REQUEST_MEMORY_FRACTION: f64 = 0.7;
 
 /// A `DueOrder` is an order to give now, with the demand that it is based on.
 struct DueOrder {
@@ -28,12 +28,12 @@
     order: CountOrder,
 }
 
-/// An `Outlook` is the input of one service's plan.
-struct Outlook<'a> {
+/// A `PlanInput` is the input of one service's plan.
+struct PlanInput<'a> {
     service: &'a ServiceName,
     limits: &'a CountLimits,
     busy: f64,
-    seen: BTreeMap<ZoneName, ZoneServers>,
+    servers: BTreeMap<ZoneName, ZoneServers>,
 }
 
 /// A `FleetDuty` orders as many backend servers as the demand requires.
@@ -67,7 +67,7 @@
                         samples = pace.samples
                     );
                 }
-                Err(error) => self.refused(&service, &order, &error),
+                Err(error) => self.note_failed_order(&service, &order, &error),
             }
         }
     }
@@ -76,8 +76,8 @@
     pub fn observe(&mut self, gateway: &Gateway) {
         let Some(table) = gateway.table.load_full() else { return };
         let now = clock::now();
-        for Outlook { service, limits, busy, seen } in outlooks(gateway, &table) {
-            self.planner(gateway, service).observe(now, limits, busy, &seen);
+        for PlanInput { service, limits, busy, servers } in plan_inputs(gateway, &table) {
+            self.planner(gateway, service).observe(now, limits, busy, &servers);
         }
     }
 
@@ -89,8 +89,8 @@
     fn due(&mut self, gateway: &Gateway, table: &RouteTable) -> Vec<DueOrder> {
         let now = clock::now();
         let mut due = Vec::new();
-        for Outlook { service, limits, busy, seen } in outlooks(gateway, table) {
-            for order in self.planner(gateway, service).plan(now, limits, busy, &seen) {
+        for PlanInput { service, limits, busy, servers } in plan_inputs(gateway, table) {
+            for order in self.planner(gateway, service).plan(now, limits, busy, &servers) {
                 due.push(DueOrder { service: service.clone(), busy, order });
             }
         }
@@ -101,7 +101,7 @@
         self.planners.get(service).map_or(0.0, CountPlanner::planned_for)
     }
 
-    fn refused(&mut self, service: &ServiceName, order: &CountOrder, error: &CallError) {
+    fn note_failed_order(&mut self, service: &ServiceName, order: &CountOrder, error: &CallError) {
         tracing::info!(
             event = Event::OrderFailed.number(),
             order = "count",
@@ -117,17 +117,17 @@
     }
 }
 
-fn outlooks<'a>(gateway: &Gateway, table: &'a RouteTable) -> Vec<Outlook<'a>> {
-    let mut outlooks = Vec::new();
+fn plan_inputs<'a>(gateway: &Gateway, table: &'a RouteTable) -> Vec<PlanInput<'a>> {
+    let mut plan_inputs = Vec::new();
     for (service, entry) in &table.services {
         let Some(limits) = &entry.counts else { continue };
-        let (busy, seen) = gateway.with(|state| {
+        let (busy, servers) = gateway.with(|state| {
             let busy = entry.engine.map_or(0.0, |sizes| busy(state, service, sizes));
-            (busy, seen(state, service))
+            (busy, servers(state, service))
         });
-        outlooks.push(Outlook { service, limits, busy, seen });
+        plan_inputs.push(PlanInput { service, limits, busy, servers });
     }
-    outlooks
+    plan_inputs
 }
 
 // Returns the number of engines that the demand of all nodes keeps busy, by compute time or by KV cache,
@@ -137,27 +137,27 @@
     let mut offered =
         state.demand.get_mut(service).map_or(Offered::default(), |demand| demand.rate(now));
     for (_, member) in state.members.iter() {
-        let told = member.offered.get(service);
-        offered = offered.plus(told.copied().unwrap_or_default());
+        let reported = member.offered.get(service);
+        offered = offered.plus(reported.copied().unwrap_or_default());
     }
-    let held: u64 = state.backends.open(service).map(|(_, backend)| backend.held(now)).sum();
-    let memory = held as f64 / (sizes.memory.max(1) as f64 * MEMORY_SHARE);
-    offered.busy(&state.observed(service).engines.model(), sizes.slots).max(memory)
+    let held: u64 = state.backends.accepting(service).map(|(_, backend)| backend.held(now)).sum();
+    let memory = held as f64 / (sizes.memory.max(1) as f64 * REQUEST_MEMORY_FRACTION);
+    offered.busy_engines(&state.observed(service).engines.model(), sizes.slots).max(memory)
 }
 
-fn seen(state: &State, service: &ServiceName) -> BTreeMap<ZoneName, ZoneServers> {
-    let mut seen: BTreeMap<ZoneName, ZoneServers> = BTreeMap::new();
+fn servers(state: &State, service: &ServiceName) -> BTreeMap<ZoneName, ZoneServers> {
+    let mut servers: BTreeMap<ZoneName, ZoneServers> = BTreeMap::new();
     for (_, backend) in state.backends.iter() {
         if backend.record.service != *service {
             continue;
         }
-        let of_zone = seen.entry(backend.record.zone.clone()).or_default();
-        match (backend.record.reclaimable, backend.is_open()) {
+        let of_zone = servers.entry(backend.record.zone.clone()).or_default();
+        match (backend.record.reclaimable, backend.accepts_work()) {
             (true, true) => of_zone.reclaimable += 1,
             (true, false) => of_zone.leaving += 1,
             (false, true) => of_zone.on_demand += 1,
             (false, false) => {}
         }
     }
-    seen
+    servers
 }
--- a/crates/gateway/src/duties/holder.rs
+++ b/crates/gateway/src/duties/holder.rs
@@ -26,18 +26,18 @@
 };
 
 /// The interval of checks whether a call for the lease is due.
-const EACH: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The timeout of a call: the lease is lost if renewals take longer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// The fraction of a lease that its holder does not use: an order that is in flight when the holder stops
 /// has to arrive before the next holder's first.
-const MARGIN_SHARE: f64 = 0.25;
+const MARGIN_FRACTION: f64 = 0.25;
 /// The renewal interval as a fraction of the lease: two renewals may fail.
-const RENEW_SHARE: f64 = 0.25;
+const RENEW_FRACTION: f64 = 0.25;
 /// The maximum time that an order may be in flight.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 /// The delay between the attempts of two nodes to claim free duties, in the order of their names.
-const TURN: Duration = Duration::from_millis(150);
+const CLAIM_DELAY: Duration = Duration::from_millis(150);
 
 /// A `Holder` holds the lease of the duties, or tries to claim it.
 pub struct Holder {
@@ -51,8 +51,8 @@
         let ttl = Duration::from(gateway.settings.bounds.lease);
         let options = LeaseOptions {
             ttl,
-            margin: ttl.mul_f64(MARGIN_SHARE),
-            renew_interval: ttl.mul_f64(RENEW_SHARE),
+            margin: ttl.mul_f64(MARGIN_FRACTION),
+            renew_interval: ttl.mul_f64(RENEW_FRACTION),
             order_timeout: ORDER_TIMEOUT,
         };
         let lease = Lease::new(clock::now(), gateway.incarnation, options);
@@ -81,21 +81,21 @@
         }
         let now = clock::now();
         let own = &self.gateway.settings.gateway.name;
-        let free = self.gateway.with(|state| {
+        let is_turn = self.gateway.with(|state| {
             // A node without a record can't reach the service, so it is not waited for.
             let listed = state.members.iter().filter(|(_, member)| member.listed);
             // Members don't see that the duties are free while relays supply them with records.
             let relays = &state.relays;
-            let tries = |name: &NodeName| relays.role == Role::Flat || relays.includes(name);
-            let earlier = listed.filter(|(name, _)| *name < own && tries(name)).count();
-            let turn = TURN * u32::try_from(earlier).unwrap_or(u32::MAX);
+            let competes = |name: &NodeName| relays.role == Role::Flat || relays.includes(name);
+            let earlier = listed.filter(|(name, _)| *name < own && competes(name)).count();
+            let delay = CLAIM_DELAY * u32::try_from(earlier).unwrap_or(u32::MAX);
             let since = state.members.duty_free_since;
-            since.is_some_and(|since| turn <= now.since(since))
+            since.is_some_and(|since| delay <= now.since(since))
         });
-        if free { Wanted::Yes } else { Wanted::No }
+        if is_turn { Wanted::Yes } else { Wanted::No }
     }
 
-    async fn carry_out(&self, call: LeaseCall) -> LeaseReply {
+    async fn execute(&self, call: LeaseCall) -> LeaseReply {
         let kv = self.gateway.platform.key_value.as_ref();
         match call {
             LeaseCall::Grant(ttl) => within(CALL_TIMEOUT, kv.grant(ttl))
@@ -130,21 +130,21 @@
 }
 
 /// Claims and renews the lease of the duties, forever.
-pub async fn keep(holder: Arc<Holder>) {
+pub async fn keep_lease(holder: Arc<Holder>) {
     let mut held: Option<FencingNumber> = None;
     loop {
         let wanted = holder.wanted();
         let call = holder.lock(|lease| lease.tick(clock::now(), wanted));
         if let Some(call) = call {
-            let reply = holder.carry_out(call).await;
+            let reply = holder.execute(call).await;
             holder.lock(|lease| lease.reply(clock::now(), reply, &mut rand::rng()));
         } else {
-            sleep(EACH).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        let now_held = holder.hold().map(|hold| hold.fence);
-        if held != now_held {
-            log_change(held, now_held);
-            held = now_held;
+        let held_now = holder.hold().map(|hold| hold.fence);
+        if held != held_now {
+            log_change(held, held_now);
+            held = held_now;
             meters::duties(held.is_some());
         }
     }
--- a/crates/gateway/src/duties/mod.rs
+++ b/crates/gateway/src/duties/mod.rs
@@ -5,7 +5,7 @@
 mod usage;
 
 pub use fleet::FleetDuty;
-pub use holder::{Holder, keep};
+pub use holder::{Holder, keep_lease};
 pub use usage::UsageDuty;
 
 use std::{sync::Arc, time::Duration};
@@ -16,14 +16,14 @@
 use crate::gateway::{Gateway, Phase};
 
 /// The interval of checks for due work.
-const EACH: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Carries out the duties while this node holds them.
-pub async fn carry_out(gateway: Arc<Gateway>, holder: Arc<Holder>) {
+pub async fn run_duties(gateway: Arc<Gateway>, holder: Arc<Holder>) {
     let mut usage = UsageDuty::default();
     let mut fleet = FleetDuty::default();
-    while gateway.phase() < Phase::Ending {
-        sleep(EACH).await;
+    while gateway.phase() < Phase::Draining {
+        sleep(CHECK_INTERVAL).await;
         if holder.authority().is_none() {
             usage = UsageDuty::default();
             fleet.observe(&gateway);
--- a/crates/gateway/src/duties/usage.rs
+++ b/crates/gateway/src/duties/usage.rs
@@ -17,17 +17,17 @@
 };
 
 /// The key under which the reports are stored before they are sent.
-const KEY: &str = "bulrushhall-usage";
+const REPORTS_KEY: &str = "bulrushhall-usage";
 /// The time after its end at which a window's counts are final without relays: five gossip intervals of
 /// 250 ms.
-const SETTLED_AFTER: Duration = Duration::from_millis(1_300);
+const FINAL_AFTER: Duration = Duration::from_millis(1_300);
 /// The time after its end at which a window's counts are final with relays: three hops of 800 ms and one
 /// lost digest.
-const SETTLED_BY_RELAYS: Duration = Duration::from_millis(3_200);
+const FINAL_AFTER_WITH_RELAYS: Duration = Duration::from_millis(3_200);
 /// The number of windows that a new holder sends again: those whose reports are not due yet.
-const SENT_AGAIN: usize = 3;
+const RESENT_WINDOWS: usize = 3;
 /// The pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(400);
+const RETRY_PAUSE: Duration = Duration::from_millis(400);
 /// The timeout of a call to the key-value service.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
@@ -48,7 +48,7 @@
         let acted = self.try_act(gateway, holder).await;
         if let Err(error) = acted {
             tracing::info!(event = Event::OrderFailed.number(), order = "usage", %error);
-            self.paused_until = clock::now() + PAUSE;
+            self.paused_until = clock::now() + RETRY_PAUSE;
         }
     }
 
@@ -58,12 +58,12 @@
         }
         let last_ended = Window(gateway.window().0.saturating_sub(1));
         let role = gateway.with(|state| state.relays.role);
-        let settled_after = if role == Role::Flat { SETTLED_AFTER } else { SETTLED_BY_RELAYS };
-        let settled = settled_after <= gateway.into_window();
-        let last_settled = if settled { last_ended } else { Window(last_ended.0 - 1) };
-        let next = self.fixed.as_ref().and_then(|(_, fixed)| fixed.next(last_settled));
+        let final_after = if role == Role::Flat { FINAL_AFTER } else { FINAL_AFTER_WITH_RELAYS };
+        let is_final = final_after <= gateway.time_into_window();
+        let last_final = if is_final { last_ended } else { Window(last_ended.0 - 1) };
+        let next = self.fixed.as_ref().and_then(|(_, fixed)| fixed.next(last_final));
         if let Some(window) = next {
-            self.fix(gateway, window).await?;
+            self.store(gateway, window).await?;
         }
         while let Some((&window, counts)) = self.unsent.first_key_value() {
             let Some(orders) = &gateway.platform.orders else { return Ok(()) };
@@ -77,7 +77,7 @@
     }
 
     async fn read(&mut self, gateway: &Gateway) -> Result<(), CallError> {
-        let found = within(CALL_TIMEOUT, gateway.platform.key_value.get(KEY)).await?;
+        let found = within(CALL_TIMEOUT, gateway.platform.key_value.get(REPORTS_KEY)).await?;
         let fixed: FixedReports = match found.value.is_empty() {
             true => FixedReports::default(),
             false => rmp_serde::from_slice(&found.value)
@@ -85,7 +85,7 @@
         };
         // The previous holder may have stored reports and failed before it sent them. Reports are
         // idempotent, so they are sent again.
-        for (window, counts) in fixed.windows.iter().rev().take(SENT_AGAIN) {
+        for (window, counts) in fixed.windows.iter().rev().take(RESENT_WINDOWS) {
             self.unsent.insert(*window, counts.clone());
         }
         self.fixed = Some((found.version, fixed));
@@ -94,7 +94,7 @@
 
     // Stores a report before it is sent. A write whose response is lost may still take effect, but only
     // on this version; reading the key again shows which report was stored.
-    async fn fix(&mut self, gateway: &Gateway, window: Window) -> Result<(), CallError> {
+    async fn store(&mut self, gateway: &Gateway, window: Window) -> Result<(), CallError> {
         let Some((version, fixed)) = self.fixed.take() else { return Ok(()) };
         let mut counts = gateway.with(|state| state.usage.total(window, gateway.incarnation));
         if let Some(table) = gateway.table.load_full() {
@@ -102,12 +102,13 @@
                 counts.entry(team.name.clone()).or_default();
             }
         }
-        let with = fixed.with(window, counts.clone());
-        let encoded = rmp_serde::to_vec_named(&with);
+        let updated = fixed.with(window, counts.clone());
+        let encoded = rmp_serde::to_vec_named(&updated);
         let encoded = encoded.map_err(|_| CallError::not_done(CallFault::Malformed))?;
-        let put = gateway.platform.key_value.put_if(KEY, version, Bytes::from(encoded), None);
+        let put =
+            gateway.platform.key_value.put_if(REPORTS_KEY, version, Bytes::from(encoded), None);
         if let CasOutcome::Written(version) = within(CALL_TIMEOUT, put).await? {
-            self.fixed = Some((version, with));
+            self.fixed = Some((version, updated));
             self.unsent.insert(window, counts);
         }
         Ok(())
--- a/crates/gateway/src/fleet_settings.rs
+++ b/crates/gateway/src/fleet_settings.rs
@@ -7,11 +7,11 @@
 
 /// The minimum of the planned utilization of engines: below it, a fleet would have more than ten times the
 /// engines that its demand needs.
-const USED_LEAST: f64 = 0.1;
+const MIN_USED: f64 = 0.1;
 /// The maximum of the times for which a demand is kept, in starts of an engine.
-const STARTS_MOST: f64 = 100.0;
+const MAX_STARTS: f64 = 100.0;
 /// The maximum number of engines that are added for a demand of one.
-const SPREAD_MOST: f64 = 10.0;
+const MAX_SPREAD: f64 = 10.0;
 
 /// `FleetSettings` are the settings for the number of engines that a node orders for a demand.
 #[serde_as]
@@ -47,16 +47,16 @@
         let Some(section) = sections.iter().find(|section| section.kind == "fleet") else {
             return problems;
         };
-        for (key, value, least, most) in [
-            ("used_most", self.used_most, USED_LEAST, 1.0),
-            ("spread", self.spread, 0.0, SPREAD_MOST),
-            ("kept_starts", self.kept_starts, 0.0, STARTS_MOST),
-            ("stand_in_starts", self.stand_in_starts, 0.0, STARTS_MOST),
+        for (key, value, min, max) in [
+            ("used_most", self.used_most, MIN_USED, 1.0),
+            ("spread", self.spread, 0.0, MAX_SPREAD),
+            ("kept_starts", self.kept_starts, 0.0, MAX_STARTS),
+            ("stand_in_starts", self.stand_in_starts, 0.0, MAX_STARTS),
         ] {
-            if (least..=most).contains(&value) {
+            if (min..=max).contains(&value) {
                 continue;
             }
-            let message = format!("{key} = {value} is not between {least} and {most}");
+            let message = format!("{key} = {value} is not between {min} and {max}");
             problems.push(Problem::new(file, section.line_of(key), message));
         }
         problems
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -24,7 +24,7 @@
     adapter::{Orders, Records, Wire},
     backends::Backends,
     clock,
-    cluster::{MemberRecord, Members, RecordsKnown},
+    cluster::{MemberRecord, Members, RecordCursor},
     demand::Demand,
     observed::Observed,
     settings::Settings,
@@ -39,13 +39,13 @@
 const CONFIG_MARGIN: Duration = Duration::from_millis(500);
 /// The age from which a configuration may be outdated, so that an unknown route or key may be a new one.
 /// It is three times the duration of a watch.
-const DOUBTFUL_AGE: Duration = Duration::from_millis(4_500);
+const MAX_CERTAIN_CONFIG_AGE: Duration = Duration::from_millis(4_500);
 
 /// The time since a relay's last update after which a member follows the records of backend servers itself.
-const FED_FOR: Duration = Duration::from_millis(1_000);
+const RELAYED_RECORDS_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The age of the configuration up to which a member relies on relays: the duration of a relay's watch
 /// plus the hops to this node.
-const CONFIG_FED_AGE: Duration = Duration::from_millis(2_800);
+const MAX_RELAYED_CONFIG_AGE: Duration = Duration::from_millis(2_800);
 
 /// A `Phase` is a stage of a node's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,7 +55,7 @@
     /// The node's address is not given out any more, but it still accepts requests.
     Leaving,
     /// The node accepts no new requests and finishes those in flight.
-    Ending,
+    Draining,
 }
 
 /// A `Platform` is the implementation of a platform by its adapter.
@@ -83,9 +83,9 @@
     /// The relays whose aggregates are applied.
     pub sources: UpdateSources,
     /// When another node last contacted this one as a relay.
-    pub relay_asked_at: Option<Stamp>,
+    pub contacted_as_relay_at: Option<Stamp>,
     /// The number of gossip rounds since the start.
-    pub exchanges: u64,
+    pub gossip_rounds: u64,
     /// The moment up to which the configuration is known to have been the newest.
     pub freshness: Freshness,
     /// The newer configurations that other nodes have.
@@ -95,15 +95,15 @@
     /// Since when the records of backend servers are followed without a failure.
     pub records_steady_since: Option<Stamp>,
     /// The position in the records that a relay supplies, and the time of its last update.
-    pub fed_records: Option<(RecordsKnown, Stamp)>,
+    pub relayed_records: Option<(RecordCursor, Stamp)>,
     /// The number of these updates.
-    pub times_fed: u64,
+    pub relayed_update_count: u64,
     /// The quota of each team.
     pub quotas: HashMap<TeamName, Quota>,
     /// When the node started; none if the whole system started for the first time.
     pub restarted_at: Option<Stamp>,
     /// The retry budget of each service.
-    pub repeats: HashMap<ServiceName, WindowedRetryBudget>,
+    pub retry_budgets: HashMap<ServiceName, WindowedRetryBudget>,
     /// The number of requests started by each team.
     pub usage: UsageCounts,
     /// The load that this node offers to the engines of each service.
@@ -114,15 +114,16 @@
 
 impl State {
     /// Returns the position in the records that a relay supplies; none while no relay does.
-    pub fn relay_cursor(&self, now: Stamp) -> Option<RecordsKnown> {
-        let (known, at) = self.fed_records?;
-        (self.relays.role == Role::Member && now.since(at) < FED_FOR).then_some(known)
+    pub fn relay_cursor(&self, now: Stamp) -> Option<RecordCursor> {
+        let (cursor, at) = self.relayed_records?;
+        (self.relays.role == Role::Member && now.since(at) < RELAYED_RECORDS_TIMEOUT)
+            .then_some(cursor)
     }
 
     /// Returns whether relays keep this node's configuration up to date.
-    pub fn is_config_fed(&self, now: Stamp, own: Revision) -> bool {
+    pub fn is_config_relayed(&self, now: Stamp, own: Revision) -> bool {
         self.relays.role == Role::Member
-            && self.freshness.is_within(now, CONFIG_FED_AGE)
+            && self.freshness.is_within(now, MAX_RELAYED_CONFIG_AGE)
             && self.catch_up.behind_since(own).is_none()
     }
 
@@ -157,14 +158,14 @@
     pub phase: watch::Sender<Phase>,
     state: Mutex<State>,
     /// The wall clock at the monotonic clock's zero, as of the start.
-    day_offset: Duration,
+    wall_clock_offset: Duration,
 }
 
 impl Gateway {
     /// Returns a node without a configuration and without other nodes.
     pub fn new(settings: Settings, platform: Platform) -> Gateway {
-        let day = clock::wall_clock();
-        let started = u64::try_from(day.as_millis()).unwrap_or(u64::MAX);
+        let wall_clock = clock::wall_clock();
+        let started = u64::try_from(wall_clock.as_millis()).unwrap_or(u64::MAX);
         let incarnation = Incarnation((started << 12) | rand::rng().random_range(0..1 << 12));
         let restarted_at = (!settings.gateway.first_start).then(clock::now);
         let state = State { restarted_at, ..State::default() };
@@ -176,7 +177,7 @@
             phase: watch::Sender::new(Phase::Serving),
             state: Mutex::new(state),
             // The wall clock may jump while the node runs; the monotonic clock does not.
-            day_offset: day.saturating_sub(clock::now().since(Stamp(0))),
+            wall_clock_offset: wall_clock.saturating_sub(clock::now().since(Stamp(0))),
         }
     }
 
@@ -208,26 +209,28 @@
 
     /// Returns the current usage window.
     pub fn window(&self) -> Window {
-        Window::at(self.day(), self.settings.bounds.usage_window.into())
+        Window::at(self.agreed_wall_clock(), self.settings.bounds.usage_window.into())
     }
 
     /// Returns the time since the start of the current usage window.
-    pub fn into_window(&self) -> Duration {
+    pub fn time_into_window(&self) -> Duration {
         let length = Duration::from(self.settings.bounds.usage_window).as_millis().max(1);
-        Duration::from_millis(u64::try_from(self.day().as_millis() % length).unwrap_or(0))
+        Duration::from_millis(
+            u64::try_from(self.agreed_wall_clock().as_millis() % length).unwrap_or(0),
+        )
     }
 
     /// Returns this node's wall clock at its start, advanced by a monotonic clock.
-    pub fn own_day(&self) -> Duration {
-        self.day_offset + clock::now().since(Stamp(0))
+    pub fn own_wall_clock(&self) -> Duration {
+        self.wall_clock_offset + clock::now().since(Stamp(0))
     }
 
     // The wall clock corrected by the offsets of the other nodes, so that most nodes agree on it.
-    fn day(&self) -> Duration {
-        let ahead = self.with(|state| clock_correction(state.members.days_ahead()));
-        let shift = Duration::from_millis(ahead.unsigned_abs());
-        let own = self.own_day();
-        if ahead < 0 { own.saturating_sub(shift) } else { own + shift }
+    fn agreed_wall_clock(&self) -> Duration {
+        let offset = self.with(|state| clock_correction(state.members.clock_offsets()));
+        let shift = Duration::from_millis(offset.unsigned_abs());
+        let own = self.own_wall_clock();
+        if offset < 0 { own.saturating_sub(shift) } else { own + shift }
     }
 
     /// Returns whether the configuration is recent enough to accept its keys.
@@ -238,8 +241,8 @@
     }
 
     /// Returns whether the configuration is recent enough to reject unknown routes and keys.
-    pub fn is_certain(&self) -> bool {
-        self.with(|state| state.freshness.is_within(clock::now(), DOUBTFUL_AGE))
+    pub fn is_config_current(&self) -> bool {
+        self.with(|state| state.freshness.is_within(clock::now(), MAX_CERTAIN_CONFIG_AGE))
     }
 
     /// Returns whether a newer configuration has been announced for so long that the active one may not be
@@ -273,7 +276,7 @@
     }
 
     /// Returns the limit on retries.
-    pub fn repeat_limit(&self) -> RetryLimit {
+    pub fn retry_limit(&self) -> RetryLimit {
         let bounds = &self.settings.bounds;
         RetryLimit {
             ratio: bounds.retry_ratio,
--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -57,13 +57,13 @@
 ];
 
 /// Counts a request that has ended.
-pub fn ended(
+pub fn request_ended(
     kind: Option<RouteKind>,
     outcome: &'static str,
     first: Option<Duration>,
     took: Duration,
 ) {
-    let kind = kind_word(kind);
+    let kind = kind_label(kind);
     counter!(REQUESTS, "kind" => kind, "outcome" => outcome).increment(1);
     histogram!(REQUEST_SECONDS, "kind" => kind).record(took.as_secs_f64());
     if let Some(first) = first {
@@ -88,16 +88,17 @@
 }
 
 /// Sets the number of known nodes, including this one, and of the other nodes that are alive.
-pub fn members(known: usize, heard: usize) {
+pub fn members(known: usize, alive: usize) {
     gauge!(MEMBERS, "state" => "known").set(known as f64);
-    gauge!(MEMBERS, "state" => "heard").set(heard as f64);
+    gauge!(MEMBERS, "state" => "heard").set(alive as f64);
 }
 
 /// Sets the node's role in gossip.
 pub fn role(role: Role) {
-    for (word, of_word) in [("flat", Role::Flat), ("member", Role::Member), ("relay", Role::Relay)]
+    for (label, labeled_role) in
+        [("flat", Role::Flat), ("member", Role::Member), ("relay", Role::Relay)]
     {
-        gauge!(ROLE, "role" => word).set(f64::from(u8::from(role == of_word)));
+        gauge!(ROLE, "role" => label).set(f64::from(u8::from(role == labeled_role)));
     }
 }
 
@@ -122,7 +123,7 @@
     gauge!(DUTIES).set(f64::from(u8::from(held)));
 }
 
-fn kind_word(kind: Option<RouteKind>) -> &'static str {
+fn kind_label(kind: Option<RouteKind>) -> &'static str {
     match kind {
         None => "none",
         Some(RouteKind::Idempotent) => "idempotent",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -8,8 +8,8 @@
 use tokio::{sync::watch, task::JoinHandle, time::sleep};
 
 use crate::{
-    cluster::{PeerPort, exchange, follow_backends, follow_config, follow_members, register},
-    duties::{Holder, carry_out, keep},
+    cluster::{PeerPort, follow_backends, follow_config, follow_members, gossip, register},
+    duties::{Holder, keep_lease, run_duties},
     gateway::{Gateway, Phase, Platform},
     ports::{CallerPort, DirectoryPort, ReadinessPort},
     settings::Settings,
@@ -17,13 +17,13 @@
 
 /// How long a node still accepts requests after its shutdown begins: other nodes stop giving out its
 /// address within half a second, and callers refresh addresses every two seconds.
-const LEAVING_FOR: Duration = Duration::from_millis(2_200);
+const LEAVING_TIME: Duration = Duration::from_millis(2_200);
 /// The part of the grace period that remains when the node aborts unfinished requests.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
 
 /// The maximum number of connections on a port: half of the file descriptors of the smallest supported VM;
 /// the rest is for connections to backend servers.
-const CONNECTIONS: usize = 2_000;
+const MAX_CONNECTIONS: usize = 2_000;
 
 /// A `NodeError` is the reason why a node could not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,10 +74,10 @@
         tasks.push(tokio::spawn(follow_backends(Arc::clone(&gateway))));
         tasks.push(tokio::spawn(follow_members(Arc::clone(&gateway))));
         tasks.push(tokio::spawn(register(Arc::clone(&gateway))));
-        tasks.push(tokio::spawn(exchange(Arc::clone(&gateway))));
+        tasks.push(tokio::spawn(gossip(Arc::clone(&gateway))));
         let holder = Arc::new(Holder::new(Arc::clone(&gateway)));
-        tasks.push(tokio::spawn(keep(Arc::clone(&holder))));
-        tasks.push(tokio::spawn(carry_out(Arc::clone(&gateway), holder)));
+        tasks.push(tokio::spawn(keep_lease(Arc::clone(&holder))));
+        tasks.push(tokio::spawn(run_duties(Arc::clone(&gateway), holder)));
         tracing::info!(
             event = Event::NodeStarted.number(),
             node = %gateway.settings.gateway.name,
@@ -96,10 +96,10 @@
         let node = &self.gateway.settings.gateway.name;
         tracing::info!(event = Event::NodeLeaving.number(), %node);
         let grace = Duration::from(self.gateway.settings.bounds.grace);
-        let leaving = LEAVING_FOR.min(grace / 3);
+        let leaving = LEAVING_TIME.min(grace / 3);
         self.gateway.phase.send_replace(Phase::Leaving);
         sleep(leaving).await;
-        self.gateway.phase.send_replace(Phase::Ending);
+        self.gateway.phase.send_replace(Phase::Draining);
         self.stop.send_replace(true);
         let left = grace.saturating_sub(leaving + GRACE_MARGIN);
         let ended = tokio::time::timeout(left, self.callers).await.is_ok();
@@ -121,7 +121,7 @@
     let grace = gateway.settings.bounds.grace.into();
     let options = ServerOptions {
         drain_timeout: grace,
-        max_connections: CONNECTIONS,
+        max_connections: MAX_CONNECTIONS,
         ..ServerOptions::default()
     };
     Ok(tokio::spawn(serve(listener, handler, options, stop)))
--- a/crates/gateway/src/pipeline/settle.rs
+++ b/crates/gateway/src/pipeline/access_log.rs
@@ -8,18 +8,18 @@
     clock,
     gateway::Gateway,
     meters,
-    pipeline::{Failure, identify::Identified, place::Place},
+    pipeline::{Failure, identify::IdentifiedRequest, placement::Placement},
 };
 
-/// A `Trail` collects the values of a request's access log entry, which is written on drop.
-pub struct Trail {
+/// An `AccessLogEntry` collects the values of a request's access log entry, which is written on drop.
+pub struct AccessLogEntry {
     gateway: Arc<Gateway>,
-    req: Option<Identified>,
+    req: Option<IdentifiedRequest>,
     started: Stamp,
     first_at: Option<Stamp>,
     /// The number of attempts so far.
     pub sends: u32,
-    placed: Option<Place>,
+    placement: Option<Placement>,
     /// The amount that is counted against its team's limit.
     pub counted: f64,
     /// The status of the response to the caller.
@@ -28,16 +28,16 @@
     after: Option<Duration>,
 }
 
-impl Trail {
+impl AccessLogEntry {
     /// Returns the entry of a request that arrived at `started`.
-    pub fn begin(gateway: Arc<Gateway>, started: Stamp) -> Trail {
-        Trail {
+    pub fn begin(gateway: Arc<Gateway>, started: Stamp) -> AccessLogEntry {
+        AccessLogEntry {
             gateway,
             req: None,
             started,
             first_at: None,
             sends: 0,
-            placed: None,
+            placement: None,
             counted: 0.0,
             status: 0,
             outcome: "abandoned",
@@ -46,23 +46,23 @@
     }
 
     /// Notes the team and the route.
-    pub fn identified(&mut self, req: &Identified) {
+    pub fn note_identified(&mut self, req: &IdentifiedRequest) {
         self.req = Some(req.clone());
     }
 
     /// Notes an attempt and its backend server.
-    pub fn placed(&mut self, place: &Place) {
+    pub fn note_attempt(&mut self, placement: &Placement) {
         self.sends += 1;
-        self.placed = Some(place.clone());
+        self.placement = Some(placement.clone());
     }
 
     /// Notes that the last attempt did not leave this node.
-    pub fn unsent(&mut self) {
+    pub fn note_unsent(&mut self) {
         self.sends -= 1;
     }
 
     /// Notes the first token, or the response of a plain service.
-    pub fn began(&mut self) {
+    pub fn note_started(&mut self) {
         if self.first_at.is_some() {
             return;
         }
@@ -75,18 +75,18 @@
     }
 
     /// Notes that the response was forwarded completely.
-    pub fn answered(&mut self) {
+    pub fn note_complete(&mut self) {
         self.outcome = "answered";
     }
 
     /// Notes that the response was cut short.
-    pub fn cut(&mut self) {
+    pub fn note_cut(&mut self) {
         self.outcome = "cut";
     }
 
     /// Notes that the request ends with a response of the node's own.
-    pub fn failed(&mut self, failure: Failure) {
-        self.outcome = failure.word();
+    pub fn note_failure(&mut self, failure: Failure) {
+        self.outcome = failure.as_str();
         let refusal = failure.refusal();
         self.status = refusal.status.as_u16();
         self.after = refusal.after;
@@ -94,14 +94,14 @@
 }
 
 // A caller that disconnects drops the response at any point, so the entry is written on drop.
-impl Drop for Trail {
+impl Drop for AccessLogEntry {
     fn drop(&mut self) {
         let now = clock::now();
         let millis = |from: Stamp, to: Stamp| to.since(from).as_secs_f64() * 1_000.0;
         let req = self.req.as_ref();
-        let placed = self.placed.as_ref();
-        let expected = placed.and_then(|place| place.footprint.expected);
-        meters::ended(
+        let placement = self.placement.as_ref();
+        let expected = placement.and_then(|placement| placement.footprint.expected);
+        meters::request_ended(
             req.map(|req| req.route.cfg.kind),
             self.outcome,
             self.first_at.map(|at| at.since(self.started)),
@@ -117,12 +117,13 @@
             status = self.status,
             counted = self.counted,
             sends = self.sends,
-            backend = placed.map_or("", |place| &*place.name),
-            candidates = placed.map_or(0, |place| place.candidates),
-            wait_ms = placed.map(|place| place.wait.as_secs_f64() * 1_000.0),
+            backend = placement.map_or("", |placement| &*placement.name),
+            candidates = placement.map_or(0, |placement| placement.candidates),
+            wait_ms = placement.map(|placement| placement.wait.as_secs_f64() * 1_000.0),
             expected_ms = expected.map(|expected| expected.as_secs_f64() * 1_000.0),
-            to_read = placed.map_or(0, |place| place.footprint.to_read),
-            copied_from = placed.and_then(|place| place.copy_from).map(tracing::field::display),
+            to_read = placement.map_or(0, |placement| placement.footprint.prefill_tokens),
+            copied_from =
+                placement.and_then(|placement| placement.copy_from).map(tracing::field::display),
             first_ms = self.first_at.map(|at| millis(self.started, at)),
             took_ms = millis(self.started, now),
             after_ms = self.after.map(|after| after.as_secs_f64() * 1_000.0),
--- a/crates/gateway/src/pipeline/attempt.rs
+++ b/crates/gateway/src/pipeline/attempt.rs
@@ -18,15 +18,15 @@
     clock,
     gateway::Gateway,
     meters,
-    pipeline::{identify::Identified, occupancy::Occupancy, place::Place},
+    pipeline::{identify::IdentifiedRequest, in_flight::InFlightGuard, placement::Placement},
 };
 
 /// The part of the remaining time that is kept for the way of the response back to the caller.
-const WAY_BACK: Duration = Duration::from_millis(15);
+const RETURN_MARGIN: Duration = Duration::from_millis(15);
 
-/// An `Original` is a caller's request as it was received, kept for as many attempts as it takes.
+/// An `OriginalRequest` is a caller's request as it was received, kept for as many attempts as it takes.
 #[derive(Debug)]
-pub struct Original {
+pub struct OriginalRequest {
     /// The method.
     pub method: Method,
     /// The path and query.
@@ -36,7 +36,7 @@
     /// The whole body.
     pub body: Bytes,
     /// When the caller's deadline or the route's timeout is reached.
-    pub end: Stamp,
+    pub deadline: Stamp,
 }
 
 /// A `SendFault` is the reason why an attempt got no response that may be forwarded.
@@ -58,7 +58,7 @@
 
 impl SendFault {
     /// Returns its label in logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             SendFault::NotOpened(OpenError::Unreachable) => "unreachable",
             SendFault::NotOpened(OpenError::Full) => "too_many_connections",
@@ -71,17 +71,17 @@
     }
 }
 
-/// A `SendFailed` is an attempt that got no response that may be forwarded.
+/// A `SendError` is an attempt that got no response that may be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SendFailed {
+pub struct SendError {
     /// The reason.
     pub fault: SendFault,
     /// Whether the request may have run.
     pub ran: Ran,
 }
 
-/// An `Answering` is a backend server's response whose head has arrived.
-pub struct Answering {
+/// An `BackendResponse` is a backend server's response whose head has arrived.
+pub struct BackendResponse {
     /// The platform-independent view of the head.
     pub head: ResponseHead,
     /// The head.
@@ -91,80 +91,93 @@
     /// The connection that carries it.
     pub connection: Connection,
     /// The in-flight count of the request.
-    pub occupancy: Occupancy,
+    pub in_flight: InFlightGuard,
     /// The backend server that sends it.
-    pub place: Place,
+    pub placement: Placement,
 }
 
-impl Original {
+impl OriginalRequest {
     /// Returns a caller's request with its complete body.
-    pub fn new(head: request::Parts, body: Bytes, end: Stamp) -> Original {
-        Original { method: head.method, uri: head.uri, headers: head.headers, body, end }
+    pub fn new(head: request::Parts, body: Bytes, deadline: Stamp) -> OriginalRequest {
+        OriginalRequest {
+            method: head.method,
+            uri: head.uri,
+            headers: head.headers,
+            body,
+            deadline,
+        }
     }
 }
 
-/// Sends a request and waits for the head of the response, for at most `silence`.
+/// Sends a request and waits for the head of the response, for at most `response_timeout`.
 pub async fn attempt(
     gateway: &Arc<Gateway>,
-    req: &Identified,
-    original: &Original,
-    place: &Place,
+    req: &IdentifiedRequest,
+    original: &OriginalRequest,
+    placement: &Placement,
     resume_after: Option<u64>,
-    silence: Duration,
-) -> Result<Answering, SendFailed> {
-    let occupancy = Occupancy::begin(gateway, place.key, place.footprint);
-    let sent = send(gateway, req, original, place, resume_after, silence).await;
+    response_timeout: Duration,
+) -> Result<BackendResponse, SendError> {
+    let in_flight = InFlightGuard::begin(gateway, placement.key, placement.footprint);
+    let sent = send(gateway, req, original, placement, resume_after, response_timeout).await;
     let answered = sent.and_then(|(response, connection)| {
         let (parts, body) = response.into_parts();
         let head = gateway.platform.wire.read_response(&parts);
-        judge(req, &head)?;
+        check_head(req, &head)?;
         Ok((head, parts, body, connection))
     });
     match answered {
         Ok((head, parts, body, connection)) => {
-            note_outcome(gateway, place, !head.status.is_server_error());
-            Ok(Answering { head, parts, body, connection, occupancy, place: place.clone() })
+            note_outcome(gateway, placement, !head.status.is_server_error());
+            Ok(BackendResponse {
+                head,
+                parts,
+                body,
+                connection,
+                in_flight,
+                placement: placement.clone(),
+            })
         }
         Err(failed) => {
-            note_failure(gateway, req, place, failed);
+            note_failure(gateway, req, placement, failed);
             Err(failed)
         }
     }
 }
 
 /// Records in the circuit breaker of a backend server whether a call succeeded.
-pub fn note_outcome(gateway: &Gateway, place: &Place, good: bool) {
+pub fn note_outcome(gateway: &Gateway, placement: &Placement, succeeded: bool) {
     let now = clock::now();
-    let doubted = gateway.with(|state| {
-        let Some(backend) = state.backends.get_mut(place.key) else { return false };
-        if good {
+    let opened = gateway.with(|state| {
+        let Some(backend) = state.backends.get_mut(placement.key) else { return false };
+        if succeeded {
             backend.circuit_breaker.record_success();
             return false;
         }
         backend.circuit_breaker.record_failure(now)
     });
-    if doubted {
-        tracing::warn!(event = Event::BackendDoubted.number(), backend = &*place.name);
+    if opened {
+        tracing::warn!(event = Event::BackendDoubted.number(), backend = &*placement.name);
     }
 }
 
 async fn send(
     gateway: &Gateway,
-    req: &Identified,
-    original: &Original,
-    place: &Place,
+    req: &IdentifiedRequest,
+    original: &OriginalRequest,
+    placement: &Placement,
     resume_after: Option<u64>,
-    silence: Duration,
-) -> Result<(hyper::Response<Incoming>, Connection), SendFailed> {
-    let mut outgoing = request_for(gateway, req, original, place, resume_after)?;
+    response_timeout: Duration,
+) -> Result<(hyper::Response<Incoming>, Connection), SendError> {
+    let mut outgoing = backend_request(gateway, req, original, placement, resume_after)?;
     loop {
-        let taken = place.pool.take(clock::now(), place.connections).await;
+        let taken = placement.pool.take(clock::now(), placement.connections).await;
         let mut connection = taken.map_err(|error| not_run(SendFault::NotOpened(error)))?;
         let sending = connection.sender.try_send_request(outgoing);
-        let Ok(sent) = timeout(silence, sending).await else {
+        let Ok(sent) = timeout(response_timeout, sending).await else {
             // When a server stops responding, its other connections are usually affected too.
-            place.pool.close_idle();
-            return Err(unknown(SendFault::Silent));
+            placement.pool.close_idle();
+            return Err(may_have_run(SendFault::Silent));
         };
         match sent {
             Ok(response) => return Ok((response, connection)),
@@ -172,27 +185,27 @@
             Err(mut error) => match error.take_message() {
                 Some(unsent) if connection.reused => outgoing = unsent,
                 Some(_) => return Err(not_run(SendFault::Closed)),
-                None => return Err(unknown(SendFault::Closed)),
+                None => return Err(may_have_run(SendFault::Closed)),
             },
         }
     }
 }
 
-fn request_for(
+fn backend_request(
     gateway: &Gateway,
-    req: &Identified,
-    original: &Original,
-    place: &Place,
+    req: &IdentifiedRequest,
+    original: &OriginalRequest,
+    placement: &Placement,
     resume_after: Option<u64>,
-) -> Result<Request<Full<Bytes>>, SendFailed> {
-    let left = original.end.since(clock::now()).saturating_sub(WAY_BACK);
+) -> Result<Request<Full<Bytes>>, SendError> {
+    let left = original.deadline.since(clock::now()).saturating_sub(RETURN_MARGIN);
     let send = SendHead {
-        backend: &place.name,
+        backend: &placement.name,
         left: Some(left),
         team: req.team.as_ref().map(|team| &team.name),
         rank: req.call.prompt.as_ref().map(|_| req.rank()),
         resume_after,
-        copy_from: place.copy_from,
+        copy_from: placement.copy_from,
     };
     let mut outgoing = Request::new(Full::new(original.body.clone()));
     *outgoing.method_mut() = original.method.clone();
@@ -204,10 +217,10 @@
 
 // A late response to an earlier request may arrive first on a pooled connection. If it were forwarded,
 // a caller would read a response that is meant for another.
-fn judge(req: &Identified, head: &ResponseHead) -> Result<(), SendFailed> {
-    let own = head.id.as_deref() == Some(req.call.id.as_str());
-    if head.id.is_some() && !own {
-        return Err(unknown(SendFault::Foreign));
+fn check_head(req: &IdentifiedRequest, head: &ResponseHead) -> Result<(), SendError> {
+    let matches = head.id.as_deref() == Some(req.call.id.as_str());
+    if head.id.is_some() && !matches {
+        return Err(may_have_run(SendFault::Foreign));
     }
     if head.other_backend {
         return Err(not_run(SendFault::OtherBackend));
@@ -215,41 +228,46 @@
     if head.not_run {
         return Err(not_run(SendFault::NotRun));
     }
-    if !own || !head.sealed {
-        return Err(unknown(SendFault::Foreign));
+    if !matches || !head.sealed {
+        return Err(may_have_run(SendFault::Foreign));
     }
     Ok(())
 }
 
-fn note_failure(gateway: &Gateway, req: &Identified, place: &Place, failed: SendFailed) {
-    meters::send_failed(failed.fault.word());
+fn note_failure(
+    gateway: &Gateway,
+    req: &IdentifiedRequest,
+    placement: &Placement,
+    failed: SendError,
+) {
+    meters::send_failed(failed.fault.as_str());
     tracing::info!(
         event = Event::SendFailed.number(),
         id = req.call.id.as_str(),
-        backend = &*place.name,
-        fault = failed.fault.word(),
+        backend = &*placement.name,
+        fault = failed.fault.as_str(),
         ran = failed.ran.as_str(),
-        candidates = place.candidates,
-        wait_ms = place.wait.as_secs_f64() * 1_000.0
+        candidates = placement.candidates,
+        wait_ms = placement.wait.as_secs_f64() * 1_000.0
     );
     match failed.fault {
         SendFault::NotRun | SendFault::NotOpened(OpenError::Full) => {}
         SendFault::OtherBackend => gateway.with(|state| {
-            if let Some(backend) = state.backends.get_mut(place.key) {
+            if let Some(backend) = state.backends.get_mut(placement.key) {
                 backend.replaced = true;
             }
         }),
         SendFault::NotOpened(OpenError::Unreachable)
         | SendFault::Silent
         | SendFault::Closed
-        | SendFault::Foreign => note_outcome(gateway, place, false),
+        | SendFault::Foreign => note_outcome(gateway, placement, false),
     }
 }
 
-fn not_run(fault: SendFault) -> SendFailed {
-    SendFailed { fault, ran: Ran::No }
+fn not_run(fault: SendFault) -> SendError {
+    SendError { fault, ran: Ran::No }
 }
 
-fn unknown(fault: SendFault) -> SendFailed {
-    SendFailed { fault, ran: Ran::Unknown }
+fn may_have_run(fault: SendFault) -> SendError {
+    SendError { fault, ran: Ran::Unknown }
 }
--- a/crates/gateway/src/pipeline/events.rs
+++ b/crates/gateway/src/pipeline/events.rs
@@ -3,15 +3,15 @@
 use bytes::{Bytes, BytesMut};
 
 /// The maximum size of an event, in bytes: a stream whose event never ends must not exhaust memory.
-const EVENT_MOST: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A `Split` is a run of complete events.
+/// A `CompleteEvents` is a run of complete events.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Split {
+pub struct CompleteEvents {
     /// Their bytes.
     pub bytes: Bytes,
     /// The id of the last of them that has one.
-    pub last: Option<u64>,
+    pub last_id: Option<u64>,
     /// The number of events.
     pub events: u32,
 }
@@ -35,28 +35,30 @@
     }
 
     /// Adds bytes of the stream; returns the events that are complete now, if any.
-    pub fn push(&mut self, bytes: &[u8]) -> Option<Split> {
+    pub fn push(&mut self, bytes: &[u8]) -> Option<CompleteEvents> {
         self.pending.extend_from_slice(bytes);
         let (end, events) = self.end()?;
-        let whole = self.pending.split_to(end).freeze();
+        let complete = self.pending.split_to(end).freeze();
         self.searched = 0;
-        let last = last_number(&whole);
-        let Some(skip_to) = self.skip_to else { return Some(Split { bytes: whole, last, events }) };
-        let kept = skip(&whole, skip_to);
+        let last_id = last_event_id(&complete);
+        let Some(skip_to) = self.skip_to else {
+            return Some(CompleteEvents { bytes: complete, last_id, events });
+        };
+        let kept = skip(&complete, skip_to);
         if !kept.is_empty() {
             self.skip_to = None;
         }
-        (!kept.is_empty()).then_some(Split { bytes: kept, last, events })
+        (!kept.is_empty()).then_some(CompleteEvents { bytes: kept, last_id, events })
     }
 
     /// Returns whether the stream ends within an event.
-    pub fn is_within(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
     /// Returns whether the incomplete event exceeds the maximum size.
-    pub fn is_overfull(&self) -> bool {
-        EVENT_MOST < self.pending.len()
+    pub fn is_event_too_large(&self) -> bool {
+        MAX_EVENT_BYTES < self.pending.len()
     }
 
     // Returns the end of the last complete event, after its empty line, and the number of events.
@@ -80,13 +82,13 @@
     }
 }
 
-fn number(line: &[u8]) -> Option<u64> {
+fn event_id(line: &[u8]) -> Option<u64> {
     let value = line.strip_prefix(b"id:")?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-fn last_number(events: &[u8]) -> Option<u64> {
-    events.rsplit(|byte| *byte == b'\n').find_map(number)
+fn last_event_id(events: &[u8]) -> Option<u64> {
+    events.rsplit(|byte| *byte == b'\n').find_map(event_id)
 }
 
 // Skips the leading events whose ids are not above `after`.
@@ -100,7 +102,7 @@
         }
         let line = &events[line_start..at];
         line_start = at + 1;
-        known = number(line).or(known);
+        known = event_id(line).or(known);
         if !matches!(line, b"" | b"\r") {
             continue;
         }
--- a/crates/gateway/src/pipeline/failure.rs
+++ b/crates/gateway/src/pipeline/failure.rs
@@ -8,10 +8,10 @@
 use crate::adapter::{CallProblem, Refusal};
 
 /// The retry delay that a caller is given when nothing indicates when a retry may succeed.
-const AFTER_UNKNOWN: Duration = Duration::from_millis(500);
+const RETRY_AFTER_UNKNOWN: Duration = Duration::from_millis(500);
 /// The retry delay that a caller is given by a node that is shutting down: another node takes the
 /// request at once.
-const AFTER_LEAVING: Duration = Duration::from_millis(50);
+const RETRY_AFTER_LEAVING: Duration = Duration::from_millis(50);
 
 /// A `Failure` is the reason why a request ends without a backend server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     /// The head is larger than allowed.
     HeadTooLarge,
     /// The body is larger than allowed.
-    TooLarge,
+    BodyTooLarge,
     /// The connection was closed before the whole body arrived.
     BodyLost,
     /// No configuration is known yet, or the known one may be too old for this request.
@@ -41,18 +41,18 @@
     /// No backend server that got it ran it, and it may not be sent to another one.
     Rejected,
     /// A backend server may have run it, and its response is lost.
-    Lost,
+    ResponseLost,
     /// The deadline has passed.
-    Late(Ran),
+    TimedOut(Ran),
 }
 
 impl Failure {
     /// Returns its label in logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Failure::Malformed(_) => "malformed",
             Failure::HeadTooLarge => "head_too_large",
-            Failure::TooLarge => "too_large",
+            Failure::BodyTooLarge => "too_large",
             Failure::BodyLost => "body_lost",
             Failure::ConfigUnknown => "config_unknown",
             Failure::NoRoute => "no_route",
@@ -62,33 +62,35 @@
             Failure::NoBackend => "no_backend",
             Failure::Leaving => "leaving",
             Failure::Rejected => "rejected",
-            Failure::Lost => "lost",
-            Failure::Late(_) => "late",
+            Failure::ResponseLost => "lost",
+            Failure::TimedOut(_) => "late",
         }
     }
 
     /// Returns the response that the caller gets.
     ///
     /// The statuses 408, 421, 429 and 503 guarantee that the request was not run and never will be, so
-    /// a caller repeats even a non-idempotent request after them. If it was sent to a backend server
+    /// a caller retry_budgets even a non-idempotent request after them. If it was sent to a backend server
     /// that is not known to have refused it, the status is one without this guarantee.
     pub fn refusal(self) -> Refusal {
         let (status, after) = match self {
             Failure::Malformed(_) => (StatusCode::BAD_REQUEST, None),
             Failure::HeadTooLarge => (StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, None),
-            Failure::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, None),
+            Failure::BodyTooLarge => (StatusCode::PAYLOAD_TOO_LARGE, None),
             Failure::BodyLost => (StatusCode::BAD_REQUEST, None),
             Failure::NoRoute => (StatusCode::NOT_FOUND, None),
             Failure::UnknownKey => (StatusCode::UNAUTHORIZED, None),
             Failure::OverQuota(after) => (StatusCode::TOO_MANY_REQUESTS, Some(after)),
             Failure::Overloaded(after) => (StatusCode::SERVICE_UNAVAILABLE, Some(after)),
             Failure::ConfigUnknown | Failure::NoBackend | Failure::Rejected => {
-                (StatusCode::SERVICE_UNAVAILABLE, Some(AFTER_UNKNOWN))
+                (StatusCode::SERVICE_UNAVAILABLE, Some(RETRY_AFTER_UNKNOWN))
             }
-            Failure::Leaving => (StatusCode::SERVICE_UNAVAILABLE, Some(AFTER_LEAVING)),
-            Failure::Late(Ran::No) => (StatusCode::SERVICE_UNAVAILABLE, Some(AFTER_UNKNOWN)),
-            Failure::Late(_) => (StatusCode::GATEWAY_TIMEOUT, None),
-            Failure::Lost => (StatusCode::BAD_GATEWAY, None),
+            Failure::Leaving => (StatusCode::SERVICE_UNAVAILABLE, Some(RETRY_AFTER_LEAVING)),
+            Failure::TimedOut(Ran::No) => {
+                (StatusCode::SERVICE_UNAVAILABLE, Some(RETRY_AFTER_UNKNOWN))
+            }
+            Failure::TimedOut(_) => (StatusCode::GATEWAY_TIMEOUT, None),
+            Failure::ResponseLost => (StatusCode::BAD_GATEWAY, None),
         };
         Refusal { status, after }
     }
--- a/crates/gateway/src/pipeline/relay.rs
+++ b/crates/gateway/src/pipeline/forward.rs
@@ -16,60 +16,60 @@
     gateway::Gateway,
     pipeline::{
         EventSplitter, StreamGaps,
-        attempt::{Answering, Original, SendFault, attempt, note_outcome},
-        identify::Identified,
-        place::{Search, place},
-        serve::{UNOPENED_MOST, again, hash_of},
-        settle::Trail,
+        access_log::AccessLogEntry,
+        attempt::{BackendResponse, OriginalRequest, SendFault, attempt, note_outcome},
+        identify::IdentifiedRequest,
+        placement::{PlacementQuery, place},
+        serve::{MAX_CONNECT_FAILURES, service_hash, take_retry},
     },
 };
 
 /// The longest pause in a resumable stream, as a multiple of the route's target gap; it is at least
-/// [`STALL_LEAST`]. Callers give up after eight times the target gap.
+/// [`MIN_STALL`]. Callers give up after eight times the target gap.
 const STALL_GAPS: u32 = 4;
 /// The shortest pause after which a stream is resumed at another engine: the prefill of a long prompt
 /// delays the other streams of its engine by some hundred milliseconds.
-const STALL_LEAST: Duration = Duration::from_millis(900);
+const MIN_STALL: Duration = Duration::from_millis(900);
 
-/// A `Relay` forwards a response to the caller.
-pub struct Relay {
+/// A `ResponseForwarder` forwards a response to the caller.
+pub struct ResponseForwarder {
     /// The node.
     pub gateway: Arc<Gateway>,
     /// The request.
-    pub req: Identified,
+    pub req: IdentifiedRequest,
     /// The request as it was received.
-    pub original: Original,
+    pub original: OriginalRequest,
     /// The response; none between a server that failed and the next one.
-    pub answering: Option<Answering>,
+    pub backend_response: Option<BackendResponse>,
     /// The backend servers that the request was sent to.
     pub tried: Vec<WorkerKey>,
     /// The access log entry.
-    pub trail: Trail,
+    pub log_entry: AccessLogEntry,
     splitter: EventSplitter,
     gaps: StreamGaps,
-    last: Option<u64>,
+    last_event: Option<u64>,
     ended: bool,
 }
 
-/// A `RelayFault` is the reason why a response was cut short.
+/// A `ForwardError` is the reason why a response was cut short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RelayFault {
+pub enum ForwardError {
     /// The backend server failed, and the response could not be resumed.
     Broken,
     /// The caller's deadline or the route's timeout was reached.
-    Late,
+    TimedOut,
 }
 
-impl fmt::Display for RelayFault {
+impl fmt::Display for ForwardError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RelayFault::Broken => "the backend server failed before the end of its response",
-            RelayFault::Late => "the deadline has passed",
+            ForwardError::Broken => "the backend server failed before the end of its response",
+            ForwardError::TimedOut => "the deadline has passed",
         })
     }
 }
 
-impl error::Error for RelayFault {}
+impl error::Error for ForwardError {}
 
 enum Step {
     Frame(Bytes),
@@ -78,36 +78,36 @@
     Broken,
 }
 
-impl Relay {
-    /// Returns a relay of a response whose head has arrived.
+impl ResponseForwarder {
+    /// Returns a forwarder of a response whose head has arrived.
     pub fn new(
         gateway: Arc<Gateway>,
-        req: Identified,
-        original: Original,
-        answering: Answering,
+        req: IdentifiedRequest,
+        original: OriginalRequest,
+        backend_response: BackendResponse,
         tried: Vec<WorkerKey>,
-        trail: Trail,
-    ) -> Relay {
-        let last = req.call.resume_after;
-        Relay {
+        log_entry: AccessLogEntry,
+    ) -> ResponseForwarder {
+        let last_event = req.call.resume_after;
+        ResponseForwarder {
             gateway,
             req,
             original,
-            answering: Some(answering),
+            backend_response: Some(backend_response),
             tried,
-            trail,
+            log_entry,
             splitter: EventSplitter::default(),
             gaps: StreamGaps::default(),
-            last,
+            last_event,
             ended: false,
         }
     }
 
     /// Returns the body that the caller reads.
     pub fn into_body(self) -> Body {
-        let frames = unfold(self, |mut relay| async move {
-            let frame = relay.next().await?;
-            Some((frame.map(Frame::data), relay))
+        let frames = unfold(self, |mut forwarder| async move {
+            let frame = forwarder.next().await?;
+            Some((frame.map(Frame::data), forwarder))
         });
         StreamBody::new(frames).boxed_unsync()
     }
@@ -119,16 +119,16 @@
             return None;
         }
         loop {
-            if self.original.end <= clock::now() {
-                return self.cut(RelayFault::Late);
+            if self.original.deadline <= clock::now() {
+                return self.cut(ForwardError::TimedOut);
             }
-            if self.answering.is_none() && !self.resume().await {
-                return self.cut(RelayFault::Broken);
+            if self.backend_response.is_none() && !self.resume().await {
+                return self.cut(ForwardError::Broken);
             }
             match self.step().await {
                 Step::Frame(bytes) => {
                     // hyper does not poll again after the last byte of a body of known length.
-                    if self.is_whole() {
+                    if self.is_complete() {
                         self.finish();
                     }
                     return Some(Ok(bytes));
@@ -144,132 +144,145 @@
     }
 
     async fn step(&mut self) -> Step {
-        let silence = self.silence();
-        let Some(answering) = &mut self.answering else { return Step::Broken };
-        let Ok(frame) = timeout(silence, answering.body.frame()).await else {
+        let frame_timeout = self.frame_timeout();
+        let Some(backend_response) = &mut self.backend_response else { return Step::Broken };
+        let Ok(frame) = timeout(frame_timeout, backend_response.body.frame()).await else {
             return Step::Broken;
         };
         let frame = match frame {
             Some(Ok(frame)) => frame,
             Some(Err(_)) => return Step::Broken,
             // A partial event at the end means that the stream was cut, even if the body ended regularly.
-            None if self.splitter.is_within() => return Step::Broken,
+            None if self.splitter.has_partial_event() => return Step::Broken,
             None => return Step::End,
         };
         let Ok(bytes) = frame.into_data() else { return Step::Nothing };
-        answering.occupancy.note_began();
-        self.trail.began();
-        if !self.req.route.cfg.kind.is_stream() || !answering.head.status.is_success() {
+        backend_response.in_flight.note_started();
+        self.log_entry.note_started();
+        if !self.req.route.cfg.kind.is_stream() || !backend_response.head.status.is_success() {
             return Step::Frame(bytes);
         }
         let split = self.splitter.push(&bytes);
-        if self.splitter.is_overfull() {
+        if self.splitter.is_event_too_large() {
             return Step::Broken;
         }
         let Some(split) = split else { return Step::Nothing };
-        self.last = split.last.or(self.last);
+        self.last_event = split.last_id.or(self.last_event);
         self.gaps.note(clock::now(), split.events);
         Step::Frame(split.bytes)
     }
 
-    fn is_whole(&self) -> bool {
-        let ended = self.answering.as_ref().is_some_and(|answering| answering.body.is_end_stream());
-        ended && !self.splitter.is_within()
+    fn is_complete(&self) -> bool {
+        let ended = self
+            .backend_response
+            .as_ref()
+            .is_some_and(|backend_response| backend_response.body.is_end_stream());
+        ended && !self.splitter.has_partial_event()
     }
 
     // The time limit for the next frame. A server that stops sending without a reset is given up after
     // it if the stream can be resumed; no other response is ended because of a pause.
-    fn silence(&self) -> Duration {
-        let left = self.original.end.since(clock::now());
+    fn frame_timeout(&self) -> Duration {
+        let left = self.original.deadline.since(clock::now());
         if !self.may_resume() {
             return left;
         }
         let gap = self.req.route.cfg.target_gap.map_or(Duration::ZERO, Duration::from);
-        let mut most = (gap * STALL_GAPS).max(STALL_LEAST);
-        if let Some(answering) = &self.answering {
-            most += answering.place.footprint.expected.unwrap_or_default();
+        let mut max = (gap * STALL_GAPS).max(MIN_STALL);
+        if let Some(backend_response) = &self.backend_response {
+            max += backend_response.placement.footprint.expected.unwrap_or_default();
         }
-        most.min(left)
+        max.min(left)
     }
 
     fn may_resume(&self) -> bool {
         self.req.route.cfg.kind == RouteKind::ResumableStream
-            && self.trail.sends < self.req.route.cfg.attempts
+            && self.log_entry.sends < self.req.route.cfg.attempts
     }
 
     async fn resume(&mut self) -> bool {
         if !self.may_resume() {
             return false;
         }
-        let hash = hash_of(&self.req);
+        let hash = service_hash(&self.req);
         let Some(service) = self.req.route.cfg.service(hash).cloned() else { return false };
-        if !again(&self.gateway, &self.req, &service, &self.trail) {
+        if !take_retry(&self.gateway, &self.req, &service, &self.log_entry) {
             return false;
         }
         // Engines often fail together, and some of them are not known to be dead yet. If no connection
         // could be opened, nothing was sent, so the next engine is tried.
-        for _ in 0..UNOPENED_MOST {
+        for _ in 0..MAX_CONNECT_FAILURES {
             match self.resume_at_next(&service).await {
-                Ok(answering) => {
-                    self.splitter = EventSplitter::after(self.last);
-                    self.answering = Some(answering);
+                Ok(backend_response) => {
+                    self.splitter = EventSplitter::after(self.last_event);
+                    self.backend_response = Some(backend_response);
                     return true;
                 }
-                Err(SendFault::NotOpened(_)) => self.trail.unsent(),
+                Err(SendFault::NotOpened(_)) => self.log_entry.note_unsent(),
                 Err(_) => return false,
             }
         }
         false
     }
 
-    async fn resume_at_next(&mut self, service: &ServiceName) -> Result<Answering, SendFault> {
-        let left = self.original.end.since(clock::now());
-        let search = Search { req: &self.req, service, tried: &self.tried, left };
+    async fn resume_at_next(
+        &mut self,
+        service: &ServiceName,
+    ) -> Result<BackendResponse, SendFault> {
+        let left = self.original.deadline.since(clock::now());
+        let query = PlacementQuery { req: &self.req, service, tried: &self.tried, left };
         // Without a backend server the request is not run again.
-        let placed = place(&self.gateway, search).map_err(|_| SendFault::NotRun)?;
-        self.tried.push(placed.key);
-        self.trail.placed(&placed);
+        let placement = place(&self.gateway, query).map_err(|_| SendFault::NotRun)?;
+        self.tried.push(placement.key);
+        self.log_entry.note_attempt(&placement);
         tracing::info!(
             event = Event::StreamResumed.number(),
             id = self.req.call.id.as_str(),
-            backend = &*placed.name,
-            after = self.last
+            backend = &*placement.name,
+            after = self.last_event
         );
         let sent =
-            attempt(&self.gateway, &self.req, &self.original, &placed, self.last, left).await;
-        let answering = sent.map_err(|failed| failed.fault)?;
+            attempt(&self.gateway, &self.req, &self.original, &placement, self.last_event, left)
+                .await;
+        let backend_response = sent.map_err(|failed| failed.fault)?;
         // An error response can't follow the events that the caller already has.
-        if answering.head.status.is_success() { Ok(answering) } else { Err(SendFault::Foreign) }
+        if backend_response.head.status.is_success() {
+            Ok(backend_response)
+        } else {
+            Err(SendFault::Foreign)
+        }
     }
 
     fn drop_broken(&mut self) {
-        let Some(answering) = self.answering.take() else { return };
-        note_outcome(&self.gateway, &answering.place, false);
+        let Some(backend_response) = self.backend_response.take() else { return };
+        note_outcome(&self.gateway, &backend_response.placement, false);
     }
 
     fn finish(&mut self) {
         self.ended = true;
-        self.trail.answered();
+        self.log_entry.note_complete();
         self.note_gaps();
-        let Some(answering) = self.answering.take() else { return };
-        let Answering { head, connection, place, .. } = answering;
+        let Some(backend_response) = self.backend_response.take() else { return };
+        let BackendResponse { head, connection, placement, .. } = backend_response;
         if !head.closing {
-            place.pool.keep(clock::now(), connection, head.idle);
+            placement.pool.keep(clock::now(), connection, head.idle);
         }
     }
 
     // The gaps of a resumed stream come from two engines, so they are no sample of either.
     fn note_gaps(&self) {
-        let (Some(answering), 1) = (&self.answering, self.trail.sends) else { return };
+        let (Some(backend_response), 1) = (&self.backend_response, self.log_entry.sends) else {
+            return;
+        };
         let Some(prompt) = &self.req.call.prompt else { return };
-        let Some((gap, events)) = self.gaps.measured() else { return };
-        answering.occupancy.note_stream(gap, events, prompt.answer());
+        let Some((gap, events)) = self.gaps.median() else { return };
+        backend_response.in_flight.note_stream(gap, events, prompt.answer());
     }
 
-    fn cut(&mut self, fault: RelayFault) -> Option<Result<Bytes, BoxError>> {
+    fn cut(&mut self, fault: ForwardError) -> Option<Result<Bytes, BoxError>> {
         self.ended = true;
-        self.answering = None;
-        self.trail.cut();
+        self.backend_response = None;
+        self.log_entry.note_cut();
         Some(Err(fault.into()))
     }
 }
--- a/crates/gateway/src/pipeline/identify.rs
+++ b/crates/gateway/src/pipeline/identify.rs
@@ -12,11 +12,11 @@
 };
 
 /// The bytes of a header line besides the name and the value: colon, space and line end.
-const HEADER_EXTRA: usize = 4;
+const HEADER_OVERHEAD: usize = 4;
 
-/// An `Identified` request has a route and, if that route needs one, a team.
+/// An `IdentifiedRequest` request has a route and, if that route needs one, a team.
 #[derive(Clone, Debug)]
-pub struct Identified {
+pub struct IdentifiedRequest {
     /// What the caller requests.
     pub call: Arc<Call>,
     /// The configuration under which it is handled.
@@ -27,16 +27,16 @@
     pub team: Option<Arc<TeamEntry>>,
 }
 
-impl Identified {
+impl IdentifiedRequest {
     /// Returns the priority, 0 being the most urgent.
     pub fn rank(&self) -> u8 {
-        let of_team = self.team.as_ref().and_then(|team| team.priority);
-        of_team.unwrap_or(self.route.cfg.priority).min(9)
+        let team_priority = self.team.as_ref().and_then(|team| team.priority);
+        team_priority.unwrap_or(self.route.cfg.priority).min(9)
     }
 }
 
 /// Returns a request with its route and team.
-pub fn identify(gateway: &Gateway, head: &request::Parts) -> Result<Identified, Failure> {
+pub fn identify(gateway: &Gateway, head: &request::Parts) -> Result<IdentifiedRequest, Failure> {
     let call = gateway.platform.wire.read_call(head).map_err(Failure::Malformed)?;
     let table = gateway.table.load_full().ok_or(Failure::ConfigUnknown)?;
     if table.limits.head_bytes < head_bytes(head) {
@@ -47,28 +47,32 @@
     }
     let Some(route) = table.route(&call.host, head.uri.path()).cloned() else {
         // The route may be in a newer configuration that this node did not receive.
-        return Err(if gateway.is_certain() { Failure::NoRoute } else { Failure::ConfigUnknown });
+        return Err(if gateway.is_config_current() {
+            Failure::NoRoute
+        } else {
+            Failure::ConfigUnknown
+        });
     };
     let mut team = None;
     if table.is_keyed() && !route.cfg.anonymous {
         team = call.key.as_deref().and_then(|key| table.team(key)).cloned();
         if team.is_none() {
-            let certain = gateway.is_certain();
-            return Err(if certain { Failure::UnknownKey } else { Failure::ConfigUnknown });
+            let is_current = gateway.is_config_current();
+            return Err(if is_current { Failure::UnknownKey } else { Failure::ConfigUnknown });
         }
         // The key may have been revoked in a newer configuration.
         if !gateway.may_use_keys() {
             return Err(Failure::ConfigUnknown);
         }
     }
-    Ok(Identified { call: Arc::new(call), table, route, team })
+    Ok(IdentifiedRequest { call: Arc::new(call), table, route, team })
 }
 
 // The size of a head on the wire.
 fn head_bytes(head: &request::Parts) -> usize {
     let headers = head.headers.iter();
     let headers: usize =
-        headers.map(|(name, value)| name.as_str().len() + value.len() + HEADER_EXTRA).sum();
+        headers.map(|(name, value)| name.as_str().len() + value.len() + HEADER_OVERHEAD).sum();
     head.method.as_str().len()
         + head.uri.path_and_query().map_or(0, |path| path.as_str().len())
         + headers
--- a/crates/gateway/src/pipeline/occupancy.rs
+++ b/crates/gateway/src/pipeline/in_flight.rs
@@ -16,7 +16,7 @@
     /// Its priority, 0 being the most urgent.
     pub rank: u8,
     /// The prompt tokens that the engine has to prefill.
-    pub to_read: u32,
+    pub prefill_tokens: u32,
     /// The tokens that it occupies in the engine's KV cache.
     pub held: u32,
     /// The expected time to the first token, at an engine.
@@ -25,45 +25,45 @@
     pub unqueued: bool,
 }
 
-/// An `Occupancy` counts a request as in flight at a backend server until it is dropped, whichever way
+/// An `InFlightGuard` counts a request as in flight at a backend server until it is dropped, whichever way
 /// the request ends.
-pub struct Occupancy {
+pub struct InFlightGuard {
     gateway: Arc<Gateway>,
     key: WorkerKey,
     footprint: Footprint,
-    began: bool,
+    started: bool,
     since: Stamp,
 }
 
-impl Occupancy {
+impl InFlightGuard {
     /// Counts a request that is about to be sent.
-    pub fn begin(gateway: &Arc<Gateway>, key: WorkerKey, footprint: Footprint) -> Occupancy {
+    pub fn begin(gateway: &Arc<Gateway>, key: WorkerKey, footprint: Footprint) -> InFlightGuard {
         gateway.with(|state| {
             let Some(backend) = state.backends.get_mut(key) else { return };
             backend.own.requests += 1;
-            backend.own.waiting[usize::from(footprint.rank)] += footprint.to_read;
+            backend.own.waiting[usize::from(footprint.rank)] += footprint.prefill_tokens;
             backend.own.held += footprint.held;
         });
         let since = clock::now();
-        Occupancy { gateway: Arc::clone(gateway), key, footprint, began: false, since }
+        InFlightGuard { gateway: Arc::clone(gateway), key, footprint, started: false, since }
     }
 
     /// Notes the first token, or the response of a plain service.
-    pub fn note_began(&mut self) {
-        if self.began {
+    pub fn note_started(&mut self) {
+        if self.started {
             return;
         }
-        self.began = true;
+        self.started = true;
         let took = clock::now().since(self.since);
-        let Footprint { rank, to_read, expected, unqueued, .. } = self.footprint;
+        let Footprint { rank, prefill_tokens, expected, unqueued, .. } = self.footprint;
         self.gateway.with(|state| {
             let Some(backend) = state.backends.get_mut(self.key) else { return };
-            backend.own.waiting[usize::from(rank)] -= to_read;
+            backend.own.waiting[usize::from(rank)] -= prefill_tokens;
             let Some(expected) = expected else { return };
             backend.note_first_token(expected, took);
             if unqueued {
                 let service = backend.record.service.clone();
-                let sample = FirstTokenSample { prefill_tokens: to_read, took };
+                let sample = FirstTokenSample { prefill_tokens, took };
                 state.observed(&service).engines.note_first_token(sample);
             }
         });
@@ -91,15 +91,15 @@
     }
 }
 
-impl Drop for Occupancy {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let Footprint { rank, to_read, held, .. } = self.footprint;
+        let Footprint { rank, prefill_tokens, held, .. } = self.footprint;
         self.gateway.with(|state| {
             let Some(backend) = state.backends.get_mut(self.key) else { return };
             backend.own.requests -= 1;
             backend.own.held -= held;
-            if !self.began {
-                backend.own.waiting[usize::from(rank)] -= to_read;
+            if !self.started {
+                backend.own.waiting[usize::from(rank)] -= prefill_tokens;
             }
         });
     }
--- a/crates/gateway/src/pipeline/mod.rs
+++ b/crates/gateway/src/pipeline/mod.rs
@@ -1,17 +1,17 @@
 //! The stages of a request: identify, route, admit, place, attempt, forward the response, log.
 
+mod access_log;
 mod attempt;
 mod events;
 mod failure;
+mod forward;
 mod identify;
-mod occupancy;
-mod place;
-mod relay;
+mod in_flight;
+mod placement;
 mod serve;
-mod settle;
 mod stream_gaps;
 
-pub use events::{EventSplitter, Split};
+pub use events::{CompleteEvents, EventSplitter};
 pub use failure::Failure;
 pub use serve::serve;
 pub use stream_gaps::StreamGaps;
--- a/crates/gateway/src/pipeline/place.rs
+++ b/crates/gateway/src/pipeline/placement.rs
@@ -18,22 +18,22 @@
     clock,
     demand::Offered,
     gateway::{Gateway, State},
-    pipeline::{Failure, identify::Identified, occupancy::Footprint},
+    pipeline::{Failure, identify::IdentifiedRequest, in_flight::Footprint},
     table::{EngineSizes, ServiceEntry},
 };
 
 /// The one-way latency to another availability zone, for comparing servers: that of the deployments
 /// which this is built for.
-const OTHER_ZONE: Duration = Duration::from_millis(1);
+const OTHER_ZONE_LATENCY: Duration = Duration::from_millis(1);
 
 /// The average age of what other nodes reported: half of the gossip interval.
-const NEWS_AGE: Duration = Duration::from_millis(130);
+const REPORT_AGE: Duration = Duration::from_millis(130);
 /// The average age of what relays passed on: half of the gossip interval for each of three hops.
-const RELAYED_NEWS_AGE: Duration = Duration::from_millis(320);
+const RELAYED_REPORT_AGE: Duration = Duration::from_millis(320);
 
-/// A `Place` is the backend server that was chosen for an attempt.
+/// A `Placement` is the backend server that was chosen for an attempt.
 #[derive(Clone)]
-pub struct Place {
+pub struct Placement {
     /// The backend server.
     pub key: WorkerKey,
     /// Its name.
@@ -49,16 +49,16 @@
     /// The expected queueing time.
     pub wait: Duration,
     /// The 95th percentile of the call times, at a plain service.
-    pub long_call: Duration,
+    pub p95_call: Duration,
     /// The number of backend servers that it was chosen from.
     pub candidates: usize,
 }
 
-/// A `Search` is what the choice of a backend server is based on.
+/// A `PlacementQuery` is what the choice of a backend server is based on.
 #[derive(Clone, Copy)]
-pub struct Search<'a> {
+pub struct PlacementQuery<'a> {
     /// The request.
-    pub req: &'a Identified,
+    pub req: &'a IdentifiedRequest,
     /// The service that it goes to.
     pub service: &'a ServiceName,
     /// The backend servers that it was sent to already.
@@ -68,17 +68,17 @@
 }
 
 /// Chooses a backend server that the request was not sent to yet, or refuses the request.
-pub fn place(gateway: &Gateway, search: Search<'_>) -> Result<Place, Failure> {
-    let entry = search.req.table.services.get(search.service).ok_or(Failure::NoBackend)?;
+pub fn place(gateway: &Gateway, query: PlacementQuery<'_>) -> Result<Placement, Failure> {
+    let entry = query.req.table.services.get(query.service).ok_or(Failure::NoBackend)?;
     let zone = &gateway.settings.gateway.zone;
-    gateway.with(|state| match (entry.engine, &search.req.call.prompt) {
+    gateway.with(|state| match (entry.engine, &query.req.call.prompt) {
         (Some(sizes), Some(prompt)) => {
-            let chosen = search.engine(state, zone, sizes, prompt)?;
-            search.placed(state, entry, chosen)
+            let chosen = query.choose_engine_server(state, zone, sizes, prompt)?;
+            query.placement(state, entry, chosen)
         }
         _ => {
-            let chosen = search.plain(state, zone)?;
-            search.placed(state, entry, chosen)
+            let chosen = query.choose_plain_server(state, zone)?;
+            query.placement(state, entry, chosen)
         }
     })
 }
@@ -92,8 +92,8 @@
     candidates: usize,
 }
 
-impl Search<'_> {
-    fn engine(
+impl PlacementQuery<'_> {
+    fn choose_engine_server(
         &self,
         state: &mut State,
         zone: &ZoneName,
@@ -114,7 +114,7 @@
                 held_tokens: backend.held(now),
                 cached: backend.parts.cached(&prompt.parts),
                 slowness: backend.slowness,
-                network_latency: distance(zone, backend),
+                network_latency: network_latency(zone, backend),
                 failure_rate: backend.circuit_breaker.failure_rate(),
                 circuit_open: backend.circuit_breaker.is_open(now),
             });
@@ -142,11 +142,11 @@
         }
         let copy_from = copy_from(state, chosen, sources);
         let backend = state.backends.get_mut(chosen.key).ok_or(Failure::NoBackend)?;
-        backend.parts.note(now, &prompt.parts, sizes.remembered());
+        backend.parts.note(now, &prompt.parts, sizes.prefix_cache_tokens());
         backend.recent.note(now, prompt.shared_parts());
         let footprint = Footprint {
             rank,
-            to_read: chosen.prefill_tokens,
+            prefill_tokens: chosen.prefill_tokens,
             held: prompt.tokens + prompt.answer(),
             expected: Some(chosen.first_token),
             // If a part of the prompt may be copied or is only assumed to be cached, it is not known
@@ -160,9 +160,10 @@
 
     // The prompt tokens that other nodes have sent since they reported their loads.
     fn unseen_tokens(&self, state: &State) -> f64 {
-        let told = state.members.iter().filter_map(|(_, member)| member.offered.get(self.service));
-        let per_second: f64 = told.map(|offered| offered.read).sum();
-        let age = if state.relays.role == Role::Flat { NEWS_AGE } else { RELAYED_NEWS_AGE };
+        let reported =
+            state.members.iter().filter_map(|(_, member)| member.offered.get(self.service));
+        let per_second: f64 = reported.map(|offered| offered.read).sum();
+        let age = if state.relays.role == Role::Flat { REPORT_AGE } else { RELAYED_REPORT_AGE };
         per_second * age.as_secs_f64()
     }
 
@@ -173,7 +174,7 @@
             return sources;
         }
         let now = clock::now();
-        for (key, backend) in state.backends.keeping(self.service) {
+        for (key, backend) in state.backends.copy_sources(self.service) {
             let cached = backend.parts.cached(&prompt.parts);
             if cached < MIN_COPIED_TOKENS {
                 continue;
@@ -185,7 +186,7 @@
         sources
     }
 
-    fn plain(&self, state: &mut State, zone: &ZoneName) -> Result<Chosen, Failure> {
+    fn choose_plain_server(&self, state: &mut State, zone: &ZoneName) -> Result<Chosen, Failure> {
         let now = clock::now();
         let mut views = Vec::new();
         for (key, backend) in self.untried(state) {
@@ -193,7 +194,7 @@
                 key,
                 slots: backend.record.slots,
                 calls: backend.requests(now),
-                network_latency: distance(zone, backend),
+                network_latency: network_latency(zone, backend),
                 failure_rate: backend.circuit_breaker.failure_rate(),
                 circuit_open: backend.circuit_breaker.is_open(now),
             });
@@ -206,23 +207,23 @@
         Ok(Chosen { key, wait, footprint, copy_from: None, candidates: views.len() })
     }
 
-    fn placed(
+    fn placement(
         &self,
         state: &mut State,
         entry: &ServiceEntry,
         chosen: Chosen,
-    ) -> Result<Place, Failure> {
-        let long_call = state.observed(self.service).calls.p95();
+    ) -> Result<Placement, Failure> {
+        let p95_call = state.observed(self.service).calls.p95();
         let backend = state.backends.get(chosen.key).ok_or(Failure::NoBackend)?;
-        Ok(Place {
+        Ok(Placement {
             key: chosen.key,
             name: Arc::clone(&backend.name),
             pool: Arc::clone(&backend.pool),
-            connections: part_of(entry.connections, state.members.count()),
+            connections: connection_share(entry.connections, state.members.count()),
             footprint: chosen.footprint,
             copy_from: chosen.copy_from,
             wait: chosen.wait,
-            long_call,
+            p95_call,
             candidates: chosen.candidates,
         })
     }
@@ -231,7 +232,7 @@
         &'s self,
         state: &'s State,
     ) -> impl Iterator<Item = (WorkerKey, &'s Backend)> + 's {
-        state.backends.open(self.service).filter(|(key, _)| !self.tried.contains(key))
+        state.backends.accepting(self.service).filter(|(key, _)| !self.tried.contains(key))
     }
 
     fn latency_budget(&self) -> LatencyBudget {
@@ -257,13 +258,13 @@
     Some(state.backends.get(source.key)?.record.address)
 }
 
-fn distance(own: &ZoneName, backend: &Backend) -> Duration {
-    if backend.record.zone == *own { Duration::ZERO } else { OTHER_ZONE }
+fn network_latency(own: &ZoneName, backend: &Backend) -> Duration {
+    if backend.record.zone == *own { Duration::ZERO } else { OTHER_ZONE_LATENCY }
 }
 
 // The connections that a backend server accepts are divided evenly among all nodes. One share is kept
 // free for a node that this one does not know yet.
-fn part_of(connections: u32, nodes: usize) -> u32 {
+fn connection_share(connections: u32, nodes: usize) -> u32 {
     let nodes = u32::try_from(nodes).unwrap_or(u32::MAX).saturating_add(1);
     (connections / nodes).max(2)
 }
--- a/crates/gateway/src/pipeline/serve.rs
+++ b/crates/gateway/src/pipeline/serve.rs
@@ -19,127 +19,132 @@
     gateway::{Gateway, Phase},
     pipeline::{
         Failure,
-        attempt::{Answering, Original, SendFault, attempt},
-        identify::{Identified, identify},
-        place::{Place, Search, place},
-        relay::Relay,
-        settle::Trail,
+        access_log::AccessLogEntry,
+        attempt::{BackendResponse, OriginalRequest, SendFault, attempt},
+        forward::ResponseForwarder,
+        identify::{IdentifiedRequest, identify},
+        placement::{Placement, PlacementQuery, place},
     },
     table::QuotaUnit,
 };
 
 /// The part of the caller's deadline that is kept for the way of the response to the caller.
-const WAY_TO_CALLER: Duration = Duration::from_millis(20);
+const CALLER_MARGIN: Duration = Duration::from_millis(20);
 /// The time after which an idempotent call is sent to another server, as a multiple of the service's
 /// 95th percentile: a call that is merely slow is not worth a second one.
-const SILENT_TIMES: u32 = 2;
+const CALL_TIMEOUT_FACTOR: u32 = 2;
 /// The minimum of this time: a healthy node may stall that long.
-const SILENCE_LEAST: Duration = Duration::from_millis(100);
+const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(100);
 /// The maximum of this time is the remaining time divided by this: the second attempt needs time too.
-const SILENCE_SHARE: u32 = 3;
+const CALL_TIMEOUT_DIVISOR: u32 = 3;
 /// The time beyond the expected first token after which a resumable stream is sent to another engine.
-const ENGINE_SILENCE: Duration = Duration::from_millis(1_500);
+const ENGINE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_500);
 /// The number of failed connection attempts after which a request is given up.
-pub const UNOPENED_MOST: usize = 4;
+pub const MAX_CONNECT_FAILURES: usize = 4;
 
 /// Returns the response to a caller's request.
 pub async fn serve(gateway: Arc<Gateway>, req: Request<Incoming>) -> Response<Body> {
     let started = clock::now();
-    let mut trail = Trail::begin(Arc::clone(&gateway), started);
-    let answer = answer(&gateway, req, started, &mut trail).await;
-    let mut answer = match answer {
-        Ok((original, req, answering, tried)) => {
-            trail.status = answering.head.status.as_u16();
-            pass_on(&gateway, original, req, answering, tried, trail)
+    let mut log_entry = AccessLogEntry::begin(Arc::clone(&gateway), started);
+    let handled = handle(&gateway, req, started, &mut log_entry).await;
+    let mut response = match handled {
+        Ok((original, req, backend_response, tried)) => {
+            log_entry.status = backend_response.head.status.as_u16();
+            forward_response(&gateway, original, req, backend_response, tried, log_entry)
         }
         Err(failure) => {
-            trail.failed(failure);
+            log_entry.note_failure(failure);
             gateway.platform.wire.refusal(failure.refusal()).map(|()| empty())
         }
     };
     if Phase::Serving < gateway.phase() {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    answer
+    response
 }
 
 /// Returns the hash by which the traffic split chooses the service of a request; all its attempts go to
 /// the same service.
-pub fn hash_of(req: &Identified) -> u64 {
+pub fn service_hash(req: &IdentifiedRequest) -> u64 {
     xxh3_64(req.call.id.as_bytes())
 }
 
 /// A response and the backend servers that the request was sent to.
-type Sent = (Answering, Vec<WorkerKey>);
-type Answered = (Original, Identified, Answering, Vec<WorkerKey>);
+type Sent = (BackendResponse, Vec<WorkerKey>);
+type Handled = (OriginalRequest, IdentifiedRequest, BackendResponse, Vec<WorkerKey>);
 
-async fn answer(
+async fn handle(
     gateway: &Arc<Gateway>,
     req: Request<Incoming>,
     started: Stamp,
-    trail: &mut Trail,
-) -> Result<Answered, Failure> {
+    log_entry: &mut AccessLogEntry,
+) -> Result<Handled, Failure> {
     let (head, body) = req.into_parts();
     let req = identify(gateway, &head)?;
-    trail.identified(&req);
-    if gateway.phase() == Phase::Ending {
+    log_entry.note_identified(&req);
+    if gateway.phase() == Phase::Draining {
         return Err(Failure::Leaving);
     }
-    let patience = req.call.deadline.map(|deadline| deadline.saturating_sub(WAY_TO_CALLER));
+    let time_limit = req.call.deadline.map(|deadline| deadline.saturating_sub(CALLER_MARGIN));
     let timeout = Duration::from(req.route.cfg.timeout);
-    let patience = patience.map_or(timeout, |left| left.min(timeout));
-    let end = started + patience;
-    let body = read_body(&req, body, patience).await?;
-    let original = Original::new(head, body, end);
+    let time_limit = time_limit.map_or(timeout, |left| left.min(timeout));
+    let deadline = started + time_limit;
+    let body = read_body(&req, body, time_limit).await?;
+    let original = OriginalRequest::new(head, body, deadline);
     let amount = quota_amount(&req);
-    trail.counted = amount;
+    log_entry.counted = amount;
     take_quota(gateway, &req, amount)?;
-    let hash = hash_of(&req);
+    let hash = service_hash(&req);
     let service = req.route.cfg.service(hash).cloned().ok_or(Failure::NoBackend)?;
-    let limit = gateway.repeat_limit();
+    let limit = gateway.retry_limit();
     gateway.with(|state| {
-        state.repeats.entry(service.clone()).or_default().note_first(clock::now(), limit);
+        state.retry_budgets.entry(service.clone()).or_default().note_first(clock::now(), limit);
     });
     let mut attempts = Attempts::default();
-    let mut failed_answer = None;
-    let sends = (&mut attempts, &mut failed_answer);
-    let sent = send_until(gateway, &req, &original, &service, sends, trail).await;
-    match (sent, failed_answer) {
-        (Ok((answering, tried)), _) => Ok((original, req, answering, tried)),
+    let mut error_response = None;
+    let sends = (&mut attempts, &mut error_response);
+    let sent = send_with_retries(gateway, &req, &original, &service, sends, log_entry).await;
+    match (sent, error_response) {
+        (Ok((backend_response, tried)), _) => Ok((original, req, backend_response, tried)),
         // An error response of a backend server is forwarded if no retry replaced it.
-        (Err(_), Some((answering, tried))) => Ok((original, req, answering, tried)),
+        (Err(_), Some((backend_response, tried))) => Ok((original, req, backend_response, tried)),
         (Err(failure), None) => {
             if attempts.ran() == Ran::No {
-                give_back(gateway, &req, amount);
+                refund_quota(gateway, &req, amount);
             }
             Err(failure)
         }
     }
 }
 
-async fn read_body(req: &Identified, body: Incoming, patience: Duration) -> Result<Bytes, Failure> {
+async fn read_body(
+    req: &IdentifiedRequest,
+    body: Incoming,
+    time_limit: Duration,
+) -> Result<Bytes, Failure> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let read = read_limited(body, req.table.limits.body_bytes, patience).await;
+    let read = read_limited(body, req.table.limits.body_bytes, time_limit).await;
     read.map_err(|error| match error {
-        BodyError::TooLarge => Failure::TooLarge,
-        BodyError::Timeout => Failure::Late(Ran::No),
+        BodyError::TooLarge => Failure::BodyTooLarge,
+        BodyError::Timeout => Failure::TimedOut(Ran::No),
         BodyError::Closed => Failure::BodyLost,
     })
 }
 
-fn quota_amount(req: &Identified) -> f64 {
+fn quota_amount(req: &IdentifiedRequest) -> f64 {
     let Some(team) = &req.team else { return 0.0 };
-    let told = req.call.prompt.as_ref();
-    let told = told.map(|prompt| f64::from(prompt.tokens) + f64::from(prompt.max_answer_tokens));
+    let announced = req.call.prompt.as_ref();
+    let announced =
+        announced.map(|prompt| f64::from(prompt.tokens) + f64::from(prompt.max_answer_tokens));
     match team.unit {
         QuotaUnit::Requests => 1.0,
-        QuotaUnit::Tokens { default_tokens } => told.unwrap_or(default_tokens),
+        QuotaUnit::Tokens { default_tokens } => announced.unwrap_or(default_tokens),
     }
 }
 
-fn take_quota(gateway: &Gateway, req: &Identified, amount: f64) -> Result<(), Failure> {
+fn take_quota(gateway: &Gateway, req: &IdentifiedRequest, amount: f64) -> Result<(), Failure> {
     let Some(team) = &req.team else { return Ok(()) };
     let now = clock::now();
     let limit = team.limit.with_slack(gateway.quota_slack());
@@ -150,7 +155,7 @@
     taken.map_err(Failure::OverQuota)
 }
 
-fn give_back(gateway: &Gateway, req: &Identified, amount: f64) {
+fn refund_quota(gateway: &Gateway, req: &IdentifiedRequest, amount: f64) {
     let Some(team) = &req.team else { return };
     gateway.with(|state| {
         if let Some(quota) = state.quotas.get_mut(&team.name) {
@@ -159,38 +164,38 @@
     });
 }
 
-async fn send_until(
+async fn send_with_retries(
     gateway: &Arc<Gateway>,
-    req: &Identified,
-    original: &Original,
+    req: &IdentifiedRequest,
+    original: &OriginalRequest,
     service: &ServiceName,
-    (attempts, failed_answer): (&mut Attempts, &mut Option<Sent>),
-    trail: &mut Trail,
+    (attempts, error_response): (&mut Attempts, &mut Option<Sent>),
+    log_entry: &mut AccessLogEntry,
 ) -> Result<Sent, Failure> {
     let mut tried = Vec::new();
-    let mut unopened = 0;
+    let mut connect_failures = 0;
     loop {
-        let left = original.end.since(clock::now());
+        let left = original.deadline.since(clock::now());
         if left.is_zero() {
-            return Err(Failure::Late(attempts.ran()));
+            return Err(Failure::TimedOut(attempts.ran()));
         }
-        let placed = place(gateway, Search { req, service, tried: &tried, left });
-        let placed = placed.map_err(|failure| honest(failure, attempts))?;
-        tried.push(placed.key);
-        trail.placed(&placed);
+        let placement = place(gateway, PlacementQuery { req, service, tried: &tried, left });
+        let placement = placement.map_err(|failure| unless_run(failure, attempts))?;
+        tried.push(placement.key);
+        log_entry.note_attempt(&placement);
         attempts.begin();
-        let silence = silence(req, &placed, trail.sends, left).min(left);
+        let response_timeout = response_timeout(req, &placement, log_entry.sends, left).min(left);
         let resume = req.call.resume_after;
-        let sent = attempt(gateway, req, original, &placed, resume, silence).await;
+        let sent = attempt(gateway, req, original, &placement, resume, response_timeout).await;
         let failed = match sent {
-            Ok(answering) => {
+            Ok(backend_response) => {
                 attempts.end(Ran::Yes);
-                let replaceable =
-                    answering.head.status.is_server_error() && req.route.cfg.kind.may_run_again();
-                if !replaceable || !again(gateway, req, service, trail) {
-                    return Ok((answering, tried));
+                let is_retryable = backend_response.head.status.is_server_error()
+                    && req.route.cfg.kind.may_run_again();
+                if !is_retryable || !take_retry(gateway, req, service, log_entry) {
+                    return Ok((backend_response, tried));
                 }
-                *failed_answer = Some((answering, tried.clone()));
+                *error_response = Some((backend_response, tried.clone()));
                 continue;
             }
             Err(failed) => failed,
@@ -198,89 +203,106 @@
         attempts.end(failed.ran);
         if matches!(failed.fault, SendFault::NotOpened(_)) {
             // Nothing reached a backend server, so this does not count as an attempt.
-            trail.unsent();
-            unopened += 1;
-            if unopened < UNOPENED_MOST {
+            log_entry.note_unsent();
+            connect_failures += 1;
+            if connect_failures < MAX_CONNECT_FAILURES {
                 continue;
             }
-            return Err(honest(Failure::NoBackend, attempts));
+            return Err(unless_run(Failure::NoBackend, attempts));
         }
-        if original.end <= clock::now() {
-            return Err(Failure::Late(attempts.ran()));
+        if original.deadline <= clock::now() {
+            return Err(Failure::TimedOut(attempts.ran()));
         }
         let allowed = attempts.may_retry() || req.route.cfg.kind.may_run_again();
-        if !allowed || !again(gateway, req, service, trail) {
-            return Err(honest(Failure::Rejected, attempts));
+        if !allowed || !take_retry(gateway, req, service, log_entry) {
+            return Err(unless_run(Failure::Rejected, attempts));
         }
     }
 }
 
 /// Returns whether a request may be retried, and takes the retry from the retry budget.
-pub fn again(gateway: &Gateway, req: &Identified, service: &ServiceName, trail: &Trail) -> bool {
-    if req.route.cfg.attempts <= trail.sends {
+pub fn take_retry(
+    gateway: &Gateway,
+    req: &IdentifiedRequest,
+    service: &ServiceName,
+    log_entry: &AccessLogEntry,
+) -> bool {
+    if req.route.cfg.attempts <= log_entry.sends {
         return false;
     }
     let now = clock::now();
-    let limit = gateway.repeat_limit();
+    let limit = gateway.retry_limit();
     let paid = gateway.with(|state| {
         let nodes = state.members.count();
-        state.repeats.entry(service.clone()).or_default().take(now, limit, nodes)
+        state.retry_budgets.entry(service.clone()).or_default().take(now, limit, nodes)
     });
     if !paid {
         tracing::info!(
             event = Event::RepeatRefused.number(),
             id = req.call.id.as_str(),
             service = service.as_str(),
-            sends = trail.sends
+            sends = log_entry.sends
         );
     }
     paid
 }
 
 // A refusal guarantees that the request was not run. If it may have been, the failure says so.
-fn honest(failure: Failure, attempts: &Attempts) -> Failure {
-    if attempts.ran() == Ran::No { failure } else { Failure::Lost }
+fn unless_run(failure: Failure, attempts: &Attempts) -> Failure {
+    if attempts.ran() == Ran::No { failure } else { Failure::ResponseLost }
 }
 
-fn silence(req: &Identified, placed: &Place, sends: u32, left: Duration) -> Duration {
+fn response_timeout(
+    req: &IdentifiedRequest,
+    placement: &Placement,
+    sends: u32,
+    left: Duration,
+) -> Duration {
     let last = req.route.cfg.attempts <= sends;
     match req.route.cfg.kind {
         RouteKind::Idempotent if !last => {
-            let most = (left / SILENCE_SHARE).max(SILENCE_LEAST);
-            (placed.long_call * SILENT_TIMES + placed.wait).clamp(SILENCE_LEAST, most)
+            let max = (left / CALL_TIMEOUT_DIVISOR).max(MIN_CALL_TIMEOUT);
+            (placement.p95_call * CALL_TIMEOUT_FACTOR + placement.wait).clamp(MIN_CALL_TIMEOUT, max)
         }
         RouteKind::ResumableStream if !last => {
-            ENGINE_SILENCE + placed.footprint.expected.unwrap_or_default()
+            ENGINE_TIMEOUT_MARGIN + placement.footprint.expected.unwrap_or_default()
         }
         _ => Duration::MAX,
     }
 }
 
-fn pass_on(
+fn forward_response(
     gateway: &Arc<Gateway>,
-    original: Original,
-    req: Identified,
-    mut answering: Answering,
+    original: OriginalRequest,
+    req: IdentifiedRequest,
+    mut backend_response: BackendResponse,
     tried: Vec<WorkerKey>,
-    mut trail: Trail,
+    mut log_entry: AccessLogEntry,
 ) -> Response<Body> {
-    let headers = gateway.platform.wire.response_headers(&answering.parts.headers);
-    let status = answering.parts.status;
+    let headers = gateway.platform.wire.response_headers(&backend_response.parts.headers);
+    let status = backend_response.parts.status;
     let is_stream = req.route.cfg.kind.is_stream() && status.is_success();
     if !is_stream {
-        answering.occupancy.note_began();
-        trail.began();
+        backend_response.in_flight.note_started();
+        log_entry.note_started();
     }
     if status.is_success() && req.call.prompt.is_none() {
-        answering.occupancy.note_call();
+        backend_response.in_flight.note_call();
     }
-    let relay = Relay::new(Arc::clone(gateway), req, original, answering, tried, trail);
-    let mut answer = Response::new(relay.into_body());
-    *answer.status_mut() = status;
-    *answer.headers_mut() = headers;
+    let forwarder = ResponseForwarder::new(
+        Arc::clone(gateway),
+        req,
+        original,
+        backend_response,
+        tried,
+        log_entry,
+    );
+    let mut response = Response::new(forwarder.into_body());
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
     if is_stream {
         // The length of a stream may change when it is resumed at another server.
-        answer.headers_mut().remove(CONTENT_LENGTH);
+        response.headers_mut().remove(CONTENT_LENGTH);
     }
-    answer
+    response
 }
--- a/crates/gateway/src/pipeline/stream_gaps.rs
+++ b/crates/gateway/src/pipeline/stream_gaps.rs
@@ -7,14 +7,14 @@
 
 /// The number of gaps that are kept of a stream. These are its last ones: the sample is taken with the
 /// engine's load at the end of the stream.
-const HELD: usize = 16;
+const KEPT_GAPS: usize = 16;
 /// The minimum number of events of a sample: the first events often arrive together.
-const EVENTS_LEAST: u32 = 4;
+const MIN_EVENTS: u32 = 4;
 
 /// `StreamGaps` are the gaps between the events of one stream.
 #[derive(Clone, Debug, Default)]
 pub struct StreamGaps {
-    gaps: RecentSamples<HELD>,
+    gaps: RecentSamples<KEPT_GAPS>,
     last_at: Option<Stamp>,
     events: u32,
 }
@@ -31,8 +31,8 @@
     }
 
     /// Returns the median gap and the number of events; none if there are too few.
-    pub fn measured(&self) -> Option<(Duration, u32)> {
-        if self.events < EVENTS_LEAST {
+    pub fn median(&self) -> Option<(Duration, u32)> {
+        if self.events < MIN_EVENTS {
             return None;
         }
         Some((Duration::from_secs_f64(self.gaps.median()?), self.events))
--- a/crates/gateway/src/ports/directory.rs
+++ b/crates/gateway/src/ports/directory.rs
@@ -22,7 +22,7 @@
         DirectoryPort { gateway }
     }
 
-    fn answer(&self, req: Request<Incoming>) -> Response<Body> {
+    fn respond(&self, req: Request<Incoming>) -> Response<Body> {
         let (head, _) = req.into_parts();
         let wire = &self.gateway.platform.wire;
         if wire.read_lookup(&head).is_none() {
@@ -34,26 +34,26 @@
         }
         // A caller reads only a limited number of addresses. They are sampled at random: if they were
         // always the first ones, callers would never find the others.
-        let most = self.gateway.settings.bounds.max_addresses;
-        if most < addresses.len() {
-            addresses = addresses.sample(&mut rand::rng(), most).copied().collect();
+        let max = self.gateway.settings.bounds.max_addresses;
+        if max < addresses.len() {
+            addresses = addresses.sample(&mut rand::rng(), max).copied().collect();
         }
         if addresses.is_empty() {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let keep = self.gateway.settings.bounds.address_ttl;
-        wire.addresses(&addresses, keep.into()).map(full)
+        let ttl = self.gateway.settings.bounds.address_ttl;
+        wire.addresses(&addresses, ttl.into()).map(full)
     }
 }
 
 impl Handler for DirectoryPort {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        Box::pin(async move { self.answer(req) })
+        Box::pin(async move { self.respond(req) })
     }
 }
 
 fn status(status: StatusCode) -> Response<Body> {
-    let mut answer = Response::new(empty());
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(empty());
+    *response.status_mut() = status;
+    response
 }
--- a/crates/gateway/src/ports/readiness.rs
+++ b/crates/gateway/src/ports/readiness.rs
@@ -24,10 +24,10 @@
 
 impl Handler for ReadinessPort {
     fn handle(self: Arc<Self>, _req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        let mut answer = Response::new(empty());
+        let mut response = Response::new(empty());
         if !self.gateway.is_ready() {
-            *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+            *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
-        Box::pin(async move { answer })
+        Box::pin(async move { response })
     }
 }
--- a/crates/gateway/src/table/route_table.rs
+++ b/crates/gateway/src/table/route_table.rs
@@ -30,9 +30,9 @@
         for route in routes {
             self.routes.entry(route.cfg.host.clone()).or_default().push(Arc::new(route));
         }
-        for of_host in self.routes.values_mut() {
+        for host_routes in self.routes.values_mut() {
             // The first match is then the one with the longest prefix.
-            of_host.sort_by_key(|route| std::cmp::Reverse(route.cfg.prefix.len()));
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.cfg.prefix.len()));
         }
         self
     }
@@ -56,11 +56,11 @@
 
     /// Returns the route of a host with the longest prefix that matches a path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let of_host = match self.routes.get(host) {
-            Some(of_host) => of_host,
+        let host_routes = match self.routes.get(host) {
+            Some(host_routes) => host_routes,
             None => self.routes.get(&host.to_ascii_lowercase())?,
         };
-        of_host.iter().find(|route| path.starts_with(&route.cfg.prefix))
+        host_routes.iter().find(|route| path.starts_with(&route.cfg.prefix))
     }
 
     /// Returns the team of a key.
--- a/crates/gateway/src/table/service.rs
+++ b/crates/gateway/src/table/service.rs
@@ -3,7 +3,7 @@
 use bulrushhall_policy::fleet_counts::CountLimits;
 
 /// The fraction of an engine's KV cache that holds cached prefixes; the rest is for running requests.
-const REMEMBERED_SHARE: f64 = 0.6;
+const PREFIX_CACHE_FRACTION: f64 = 0.6;
 
 /// `EngineSizes` are the capacities of one model engine of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,8 +18,8 @@
 
 impl EngineSizes {
     /// Returns the number of cached prompt tokens that an engine presumably keeps besides running requests.
-    pub fn remembered(&self) -> u64 {
-        (self.memory as f64 * REMEMBERED_SHARE) as u64
+    pub fn prefix_cache_tokens(&self) -> u64 {
+        (self.memory as f64 * PREFIX_CACHE_FRACTION) as u64
     }
 }
 
