--- a/crates/gateway/tests/change_log.rs
+++ b/crates/gateway/tests/change_log.rs
@@ -2,78 +2,78 @@
 
 use std::collections::BTreeMap;
 
-use bulrushhall_gateway::change_log::{ChangeLog, News};
+use bulrushhall_gateway::change_log::{ChangeLog, Updates};
 
-const KEPT: usize = 4;
+const MAX_TOMBSTONES: usize = 4;
 
 #[derive(Default)]
 struct Records {
-    log: ChangeLog<String, KEPT>,
-    there: BTreeMap<String, u64>,
+    log: ChangeLog<String, MAX_TOMBSTONES>,
+    records: BTreeMap<String, u64>,
 }
 
 impl Records {
     fn put(&mut self, name: &str) {
         let at = self.log.note();
-        self.there.insert(name.to_owned(), at);
+        self.records.insert(name.to_owned(), at);
     }
 
     fn remove(&mut self, name: &str) {
-        self.there.remove(name);
-        self.log.note_gone(name.to_owned());
+        self.records.remove(name);
+        self.log.note_removed(name.to_owned());
     }
 
-    fn news(&self, after: u64) -> News<String, u64> {
+    fn updates_since(&self, after: u64) -> Updates<String, u64> {
         let records = |after| {
-            let changed = self.there.iter().filter(|(_, at)| after < **at);
+            let changed = self.records.iter().filter(|(_, at)| after < **at);
             changed.map(|(name, at)| (name.clone(), *at)).collect()
         };
-        self.log.news(after, records, |name| self.there.contains_key(name))
+        self.log.updates_since(after, records, |name| self.records.contains_key(name))
     }
 }
 
-fn names(news: &News<String, u64>) -> Vec<&str> {
-    news.records.iter().map(|(name, _)| name.as_str()).collect()
+fn names(updates: &Updates<String, u64>) -> Vec<&str> {
+    updates.records.iter().map(|(name, _)| name.as_str()).collect()
 }
 
 #[test]
-fn only_what_changed() {
+fn only_changes() {
     let mut records = Records::default();
     records.put("a");
     records.put("b");
-    let told = records.news(0);
-    assert_eq!((told.after, told.at, names(&told)), (0, 2, vec!["a", "b"]));
+    let updates = records.updates_since(0);
+    assert_eq!((updates.after, updates.at, names(&updates)), (0, 2, vec!["a", "b"]));
     records.put("c");
     records.remove("a");
-    let told = records.news(2);
-    assert_eq!((told.after, told.at, names(&told)), (2, 4, vec!["c"]));
-    assert_eq!(told.gone, ["a"]);
+    let updates = records.updates_since(2);
+    assert_eq!((updates.after, updates.at, names(&updates)), (2, 4, vec!["c"]));
+    assert_eq!(updates.removed, ["a"]);
 }
 
 // Guards against a record that was added again and is still reported as removed.
 #[test]
-fn gone_and_back() {
+fn removed_and_added_again() {
     let mut records = Records::default();
     records.put("a");
     records.remove("a");
     records.put("a");
-    let told = records.news(1);
-    assert_eq!((names(&told), told.gone.len()), (vec!["a"], 0));
+    let updates = records.updates_since(1);
+    assert_eq!((names(&updates), updates.removed.len()), (vec!["a"], 0));
 }
 
 // Guards against a receiver that keeps a removed record forever because its tombstone was dropped, and against one
 // that continues with the change numbers of another incarnation.
 #[test]
-fn forgotten() {
+fn dropped_tombstone_and_unknown_number() {
     let mut records = Records::default();
-    for number in 0..=KEPT {
+    for number in 0..=MAX_TOMBSTONES {
         records.put(&number.to_string());
     }
-    let at = records.news(0).at;
-    for number in 0..=KEPT {
+    let at = records.updates_since(0).at;
+    for number in 0..=MAX_TOMBSTONES {
         records.remove(&number.to_string());
     }
-    let told = records.news(at);
-    assert_eq!((told.after, told.records.len(), told.gone.len()), (0, 0, 0));
-    assert_eq!(records.news(told.at + 1).after, 0);
+    let updates = records.updates_since(at);
+    assert_eq!((updates.after, updates.records.len(), updates.removed.len()), (0, 0, 0));
+    assert_eq!(records.updates_since(updates.at + 1).after, 0);
 }
--- a/crates/gateway/tests/whole_events.rs
+++ b/crates/gateway/tests/event_splitter.rs
@@ -19,7 +19,7 @@
         let to = (at + random.random_range(1..40)).min(bytes.len());
         if let Some(split) = splitter.push(&bytes[at..to]) {
             whole.extend_from_slice(&split.bytes);
-            last = split.last.or(last);
+            last = split.last_id.or(last);
         }
         at = to;
     }
@@ -31,7 +31,7 @@
 #[rstest]
 #[case("\n")]
 #[case("\r\n")]
-fn any_cut(#[case] end: &str) {
+fn resume_after_any_byte(#[case] end: &str) {
     let events: Vec<String> = (1..=12).map(|number| event(number, end)).collect();
     let stream = events.concat();
     for seed in 0..3_000 {
@@ -45,15 +45,15 @@
         let rest = events[from..].concat();
         read.push_str(&push_all(&mut second, rest.as_bytes(), &mut random).0);
         assert_eq!(read, stream, "seed {seed}, cut at {cut}");
-        assert!(!second.is_within());
+        assert!(!second.has_partial_event());
     }
 }
 
 #[test]
-fn no_end() {
+fn event_without_end() {
     let mut splitter = EventSplitter::default();
     assert_eq!(splitter.push(b"data: a\n"), None);
-    assert!(splitter.is_within() && !splitter.is_overfull());
+    assert!(splitter.has_partial_event() && !splitter.is_event_too_large());
     splitter.push(&vec![b'x'; 2 << 20]);
-    assert!(splitter.is_overfull());
+    assert!(splitter.is_event_too_large());
 }
