--- a/crates/gateway/src/cluster/advertise.rs
+++ b/crates/gateway/src/cluster/advertise.rs
@@ -21,12 +21,12 @@
 const ALL_WINDOWS_INTERVAL: u64 = 8;
 /// The number of rounds after which relays report values that may be late.
 const LATE_VALUES_INTERVAL: u64 = 4;
-/// The minimum quota per second that a team has to request to be reported.
+/// The minimum quota per second that a team has to options to be reported.
 const MIN_REPORTED_DEMAND: f64 = 1.0;
 
-/// A `DigestRequest` is the kind of digest to create.
+/// `DigestOptions` are the scopes and the receiver of a digest.
 #[derive(Clone, Copy, Debug)]
-pub struct DigestRequest {
+pub struct DigestOptions {
     /// The nodes that it is about.
     pub scope: DigestScope,
     /// The nodes that the reply is to be about.
@@ -36,12 +36,12 @@
 }
 
 /// Returns a node's digest.
-pub fn build_digest(gateway: &Gateway, request: DigestRequest) -> Digest {
+pub fn build_digest(gateway: &Gateway, options: DigestOptions) -> Digest {
     let now = clock::now();
     let ready = gateway.is_ready();
     let revision = gateway.revision();
     gateway.with(|state| {
-        let DigestRequest { scope, reply_scope, .. } = request;
+        let DigestOptions { scope, reply_scope, .. } = options;
         let age = state.freshness.age(now);
         let unlisted = state.members.unlisted(now);
         let mut digest = Digest {
@@ -58,7 +58,7 @@
             ..Digest::new(gateway.settings.gateway.name.clone(), gateway.incarnation)
         };
         if scope != DigestScope::Nothing {
-            let builder = DigestBuilder { gateway, now, request };
+            let builder = DigestBuilder { gateway, now, options };
             builder.fill(state, &mut digest);
         }
         digest
@@ -68,7 +68,7 @@
 struct DigestBuilder<'a> {
     gateway: &'a Gateway,
     now: Stamp,
-    request: DigestRequest,
+    options: DigestOptions,
 }
 
 impl DigestBuilder<'_> {
@@ -76,7 +76,7 @@
         digest.live_nodes = self.live_nodes(state);
         digest.nodes = u32::try_from(digest.live_nodes.len() + 1).unwrap_or(u32::MAX);
         for (team, quota) in &state.quotas {
-            let report = match self.request.scope {
+            let report = match self.options.scope {
                 DigestScope::Zone => quota.zone_report(self.now),
                 DigestScope::Others => quota.report_excluding(self.now, self.receiver()),
                 DigestScope::Own | DigestScope::Nothing => quota.report(self.now),
@@ -91,20 +91,20 @@
         digest.offered = self.offered(state);
         // The values of this node itself are reported in every round: nobody else knows them, so they
         // would be lost with it.
-        let is_own = self.request.scope == DigestScope::Own;
+        let is_own = self.options.scope == DigestScope::Own;
         if is_own || state.gossip_rounds.is_multiple_of(LATE_VALUES_INTERVAL) {
             digest.usage = self.usage(state);
             for (service, observed) in &state.observed {
                 digest
-                    .paces
-                    .extend(observed.engines.own_model().map(|pace| (service.clone(), pace)));
+                    .latency_models
+                    .extend(observed.engines.own_model().map(|model| (service.clone(), model)));
             }
         }
     }
 
     // A digest for several nodes excludes none of them.
     fn receiver(&self) -> Incarnation {
-        self.request.to.unwrap_or_default()
+        self.options.to.unwrap_or_default()
     }
 
     fn live_nodes(&self, state: &State) -> Vec<LiveNode> {
@@ -112,7 +112,7 @@
         let zone = &self.gateway.settings.gateway.zone;
         for (_, member) in state.members.iter() {
             let incarnation = member.record.incarnation;
-            let is_included = match self.request.scope {
+            let is_included = match self.options.scope {
                 DigestScope::Zone => member.record.zone == *zone && member.is_live_direct(self.now),
                 DigestScope::Others => incarnation != self.receiver() && member.is_live(self.now),
                 DigestScope::Own | DigestScope::Nothing => false,
@@ -125,7 +125,7 @@
     }
 
     fn loads(&self, state: &mut State) -> Vec<BackendLoad> {
-        let (now, scope, receiver) = (self.now, self.request.scope, self.receiver());
+        let (now, scope, receiver) = (self.now, self.options.scope, self.receiver());
         let is_flat = state.relays.role == Role::Flat;
         let reported_for = if is_flat { PARTS_REPORTED_FOR } else { PARTS_RELAYED_FOR };
         let sources = &state.sources;
@@ -162,7 +162,7 @@
         }
         for (_, member) in state.members.iter() {
             let incarnation = member.record.incarnation;
-            let is_included = match self.request.scope {
+            let is_included = match self.options.scope {
                 DigestScope::Zone => {
                     member.record.zone == *zone && !state.sources.contains(incarnation)
                 }
@@ -181,13 +181,13 @@
     }
 
     fn usage(&self, state: &State) -> Vec<(Window, TeamCounts)> {
-        let rounds = match self.request.scope {
+        let rounds = match self.options.scope {
             DigestScope::Own | DigestScope::Nothing => state.gossip_rounds,
             DigestScope::Zone | DigestScope::Others => state.gossip_rounds / LATE_VALUES_INTERVAL,
         };
         let reports_all = rounds.is_multiple_of(ALL_WINDOWS_INTERVAL);
         let selection = if reports_all { WindowSelection::All } else { WindowSelection::Newest };
-        match self.request.scope {
+        match self.options.scope {
             DigestScope::Zone => {
                 state.usage.of_zone(&self.gateway.settings.gateway.zone, selection)
             }
--- a/crates/gateway/src/cluster/digest.rs
+++ b/crates/gateway/src/cluster/digest.rs
@@ -115,7 +115,8 @@
     /// The load offered to the engines of each service.
     pub offered: Vec<(ServiceName, Offered)>,
     /// The sender's latency models of the engines of each service.
-    pub paces: Vec<(ServiceName, EngineLatencyModel)>,
+    #[serde(rename = "paces")]
+    pub latency_models: Vec<(ServiceName, EngineLatencyModel)>,
     /// The position of the sender, a member, in the records that a relay supplies.
     #[serde(default, rename = "records_known")]
     pub record_cursor: Option<RecordCursor>,
@@ -146,7 +147,7 @@
             loads: Vec::new(),
             usage: Vec::new(),
             offered: Vec::new(),
-            paces: Vec::new(),
+            latency_models: Vec::new(),
             record_cursor: None,
             records: None,
         }
--- a/crates/gateway/src/cluster/follow.rs
+++ b/crates/gateway/src/cluster/follow.rs
@@ -59,21 +59,21 @@
     wait: Duration,
     follower: impl Follower,
 ) {
-    let mut at: Option<Version> = None;
+    let mut version: Option<Version> = None;
     let mut failures: u32 = 0;
     let mut budget = CallBudget::with_rates(clock::now(), [(RECORDS, RECORDS.rate())]);
     let mut relayed_update_count = 0;
     loop {
         if follower.is_relayed() {
             follower.relayed();
-            (at, failures) = (None, 0);
+            (version, failures) = (None, 0);
             sleep(RELAYED_CHECK_INTERVAL).await;
             continue;
         }
         // Updates from a relay may be ahead of a watch or behind it: only a new list is sure to be complete.
         if follower.relayed_update_count() != relayed_update_count {
             relayed_update_count = follower.relayed_update_count();
-            at = None;
+            version = None;
         }
         // The budget batches changes that come in quick succession, as when many backend servers start,
         // into one response. A call for each change would use up the calls that the service has for all
@@ -82,7 +82,7 @@
             sleep(later.since(clock::now())).await;
         }
         let requested_at = clock::now();
-        let answer = match at {
+        let result = match version {
             None => gateway.platform.key_value.list(prefix).await,
             Some(after) => {
                 let wait = wait_after(failures, wait);
@@ -93,15 +93,15 @@
         if follower.relayed_update_count() != relayed_update_count {
             continue;
         }
-        match answer {
+        match result {
             Ok(found) => {
                 if 0 < failures {
                     tracing::info!(event = Event::DependencyRegained.number(), prefix, failures);
                     follower.regained(clock::now());
                 }
                 let earlier_failures = std::mem::take(&mut failures);
-                let first = at.is_none();
-                at = Some(found.version);
+                let first = version.is_none();
+                version = Some(found.version);
                 if first {
                     follower.listed(requested_at, found.changes);
                 } else {
@@ -109,9 +109,11 @@
                     follower.changed(known_at(requested_at, waited, &found), found.changes);
                 }
             }
-            Err(error) if error.fault == (CallFault::Refused { status: HISTORY_GONE }) => at = None,
+            Err(error) if error.fault == (CallFault::Refused { status: HISTORY_GONE }) => {
+                version = None
+            }
             // A watch returns every version since its start, a list only the newest ones.
-            Err(error) if error.fault == CallFault::TooLarge && at.is_some() => at = None,
+            Err(error) if error.fault == CallFault::TooLarge && version.is_some() => version = None,
             Err(error) => {
                 if failures == 0 {
                     tracing::warn!(event = Event::DependencyLost.number(), prefix, %error);
--- a/crates/gateway/src/cluster/gossip.rs
+++ b/crates/gateway/src/cluster/gossip.rs
@@ -24,7 +24,7 @@
     clock,
     cluster::{
         Digest, DigestScope, Document, Member, activate_config,
-        advertise::{DigestRequest, build_digest},
+        advertise::{DigestOptions, build_digest},
         receive::{DocumentFetch, receive_digest},
     },
     gateway::{Gateway, State},
@@ -69,7 +69,7 @@
 struct Exchange {
     node: NodeName,
     address: SocketAddr,
-    message: DigestRequest,
+    options: DigestOptions,
 }
 
 /// Exchanges digests with other nodes forever.
@@ -89,12 +89,12 @@
         // The same digest goes to all nodes. It is encoded once, as the cost would otherwise grow with
         // the number of peers.
         let mut encoded: BTreeMap<(DigestScope, DigestScope), Bytes> = BTreeMap::new();
-        for Exchange { address, message, .. } in exchanges {
-            let bytes = match message.to {
-                Some(_) => encode(&gateway, message),
+        for Exchange { address, options, .. } in exchanges {
+            let bytes = match options.to {
+                Some(_) => encode(&gateway, options),
                 None => encoded
-                    .entry((message.scope, message.reply_scope))
-                    .or_insert_with(|| encode(&gateway, message))
+                    .entry((options.scope, options.reply_scope))
+                    .or_insert_with(|| encode(&gateway, options))
                     .clone(),
             };
             let endpoint = endpoints.entry(address).or_insert_with(|| Arc::new(endpoint(address)));
@@ -202,7 +202,7 @@
                 // It may not know any relay.
                 let mut exchange =
                     exchange_with(node, member, DigestScope::Others, DigestScope::Own);
-                exchange.message.to = Some(member.record.incarnation);
+                exchange.options.to = Some(member.record.incarnation);
                 exchanges.push(exchange);
             }
         }
@@ -248,12 +248,12 @@
     scope: DigestScope,
     reply_scope: DigestScope,
 ) -> Exchange {
-    let message = DigestRequest { scope, reply_scope, to: None };
-    Exchange { node: node.clone(), address: member.record.peers, message }
+    let options = DigestOptions { scope, reply_scope, to: None };
+    Exchange { node: node.clone(), address: member.record.peers, options }
 }
 
-fn encode(gateway: &Gateway, message: DigestRequest) -> Bytes {
-    let encoded = rmp_serde::to_vec_named(&build_digest(gateway, message));
+fn encode(gateway: &Gateway, options: DigestOptions) -> Bytes {
+    let encoded = rmp_serde::to_vec_named(&build_digest(gateway, options));
     encoded.map(Bytes::from).unwrap_or_else(|_| unreachable!("a plain message"))
 }
 
--- a/crates/gateway/src/cluster/peer_port.rs
+++ b/crates/gateway/src/cluster/peer_port.rs
@@ -14,7 +14,7 @@
     clock,
     cluster::{
         Digest, DigestScope, Document, MemberUpdates, RecordCursor,
-        advertise::{DigestRequest, build_digest},
+        advertise::{DigestOptions, build_digest},
         gossip::{
             DIGEST_PATH, DOCUMENT_PATH, MAX_MESSAGE_BYTES, RESPONSE_TIMEOUT, endpoint,
             fetch_document,
@@ -67,12 +67,12 @@
             let endpoint = endpoint(fetch.address);
             tokio::spawn(async move { fetch_document(fetch, &endpoint).await });
         }
-        let request = DigestRequest {
+        let options = DigestOptions {
             scope: reply_scope,
             reply_scope: DigestScope::Nothing,
             to: Some(requester),
         };
-        let mut reply = build_digest(&self.gateway, request);
+        let mut reply = build_digest(&self.gateway, options);
         if reply_scope == DigestScope::Others {
             reply.records = self.records(cursor);
         }
--- a/crates/gateway/src/cluster/receive.rs
+++ b/crates/gateway/src/cluster/receive.rs
@@ -103,8 +103,8 @@
 
 impl ReceivedDigest<'_> {
     fn apply(&self, state: &mut State, mut digest: Digest) {
-        for (service, pace) in &digest.paces {
-            state.observed(service).engines.receive(*pace);
+        for (service, model) in &digest.latency_models {
+            state.observed(service).engines.receive(*model);
         }
         if digest.scope == DigestScope::Nothing {
             return;
--- a/crates/gateway/src/duties/fleet.rs
+++ b/crates/gateway/src/duties/fleet.rs
@@ -46,12 +46,12 @@
     /// Gives the orders that are due.
     pub async fn act(&mut self, gateway: &Arc<Gateway>, holder: &Holder) {
         let Some(table) = gateway.table.load_full() else { return };
-        for DueOrder { service, busy, order } in self.due(gateway, &table) {
+        for DueOrder { service, busy, order } in self.due_orders(gateway, &table) {
             let Some(orders) = &gateway.platform.orders else { return };
             let Some(authority) = holder.authority() else { return };
             match within(ORDER_TIMEOUT, orders.order(&authority, &service, &order)).await {
                 Ok(()) => {
-                    let pace = gateway.with(|state| state.observed(&service).engines.model());
+                    let model = gateway.with(|state| state.observed(&service).engines.model());
                     tracing::info!(
                         event = Event::CountOrdered.number(),
                         service = service.as_str(),
@@ -60,11 +60,11 @@
                         count = order.count,
                         planned_for = self.planned_for(&service),
                         busy,
-                        read_per_ms = pace.prefill_tokens_per_ms(),
-                        event_ms = pace.gap.base,
-                        event_ms_more = pace.gap.slope,
-                        event_tokens = pace.event_tokens,
-                        samples = pace.samples
+                        read_per_ms = model.prefill_tokens_per_ms(),
+                        event_ms = model.gap.base,
+                        event_ms_more = model.gap.slope,
+                        event_tokens = model.event_tokens,
+                        samples = model.samples
                     );
                 }
                 Err(error) => self.note_failed_order(&service, &order, &error),
@@ -86,7 +86,7 @@
         self.planners.entry(service.clone()).or_insert_with(new)
     }
 
-    fn due(&mut self, gateway: &Gateway, table: &RouteTable) -> Vec<DueOrder> {
+    fn due_orders(&mut self, gateway: &Gateway, table: &RouteTable) -> Vec<DueOrder> {
         let now = clock::now();
         let mut due = Vec::new();
         for PlanInput { service, limits, busy, servers } in plan_inputs(gateway, table) {
--- a/crates/gateway/src/pipeline/access_log.rs
+++ b/crates/gateway/src/pipeline/access_log.rs
@@ -25,7 +25,7 @@
     /// The status of the response to the caller.
     pub status: u16,
     outcome: &'static str,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 impl AccessLogEntry {
@@ -41,7 +41,7 @@
             counted: 0.0,
             status: 0,
             outcome: "abandoned",
-            after: None,
+            retry_after: None,
         }
     }
 
@@ -89,7 +89,7 @@
         self.outcome = failure.as_str();
         let refusal = failure.refusal();
         self.status = refusal.status.as_u16();
-        self.after = refusal.after;
+        self.retry_after = refusal.after;
     }
 }
 
@@ -126,7 +126,7 @@
                 placement.and_then(|placement| placement.copy_from).map(tracing::field::display),
             first_ms = self.first_at.map(|at| millis(self.started, at)),
             took_ms = millis(self.started, now),
-            after_ms = self.after.map(|after| after.as_secs_f64() * 1_000.0),
+            after_ms = self.retry_after.map(|after| after.as_secs_f64() * 1_000.0),
             revision = req.map_or(0, |req| req.table.revision.0),
             config_age_ms = age.map(|age| age.as_secs_f64() * 1_000.0)
         );
--- a/crates/gateway/src/pipeline/attempt.rs
+++ b/crates/gateway/src/pipeline/attempt.rs
@@ -80,7 +80,7 @@
     pub ran: Ran,
 }
 
-/// An `BackendResponse` is a backend server's response whose head has arrived.
+/// A `BackendResponse` is a backend server's response whose head has arrived.
 pub struct BackendResponse {
     /// The platform-independent view of the head.
     pub head: ResponseHead,
--- a/crates/gateway/src/pipeline/events.rs
+++ b/crates/gateway/src/pipeline/events.rs
@@ -5,7 +5,7 @@
 /// The maximum size of an event, in bytes: a stream whose event never ends must not exhaust memory.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A `CompleteEvents` is a run of complete events.
+/// `CompleteEvents` are consecutive complete events of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompleteEvents {
     /// Their bytes.
--- a/crates/gateway/src/pipeline/failure.rs
+++ b/crates/gateway/src/pipeline/failure.rs
@@ -70,7 +70,7 @@
     /// Returns the response that the caller gets.
     ///
     /// The statuses 408, 421, 429 and 503 guarantee that the request was not run and never will be, so
-    /// a caller retry_budgets even a non-idempotent request after them. If it was sent to a backend server
+    /// a caller repeats even a non-idempotent request after them. If it was sent to a backend server
     /// that is not known to have refused it, the status is one without this guarantee.
     pub fn refusal(self) -> Refusal {
         let (status, after) = match self {
--- a/crates/gateway/src/pipeline/identify.rs
+++ b/crates/gateway/src/pipeline/identify.rs
@@ -14,7 +14,7 @@
 /// The bytes of a header line besides the name and the value: colon, space and line end.
 const HEADER_OVERHEAD: usize = 4;
 
-/// An `IdentifiedRequest` request has a route and, if that route needs one, a team.
+/// An `IdentifiedRequest` is a request with its route and, if that route needs one, its team.
 #[derive(Clone, Debug)]
 pub struct IdentifiedRequest {
     /// What the caller requests.
