--- a/crates/gateway/src/backends/backend.rs
+++ b/crates/gateway/src/backends/backend.rs
@@ -12,49 +12,49 @@
     backends::{Load, Pool},
 };
 
-/// How long another node's word on its load counts: four exchanges of 250 ms may be lost or late.
-const TOLD_FOR: Duration = Duration::from_millis(1_000);
-/// The part by which the slowness moves with each measured first token.
-const SLOWNESS_STEP: f64 = 0.1;
-/// The bounds of one measurement: queues that could not be foreseen are no property of the server.
+/// How long a load that another node reported is valid: four digests at 250 ms may be lost or late.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The weight of a sample in the moving average of the slowness.
+const SLOWNESS_WEIGHT: f64 = 0.1;
+/// The bounds of one sample: unpredicted queueing is no property of the server.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 3.0);
 
-/// A `Backend` is one life of a backend server.
+/// A `Backend` is one incarnation of a backend server.
 #[derive(Debug)]
 pub struct Backend {
-    /// Its name, as it stands in the key of its record.
+    /// Its name, as in the key of its record.
     pub name: Arc<str>,
     /// A hash of its name, the same on all nodes.
     pub identity: u64,
     /// Its record.
     pub record: BackendRecord,
-    /// The number of the change of its record.
+    /// The number of the last change of its record.
     pub changed_at: u64,
-    /// Until when its record may be missing, since the key-value service was out of reach.
+    /// Until when its record may be missing after an outage of the key-value service.
     pub missing_until: Option<Stamp>,
-    /// Whether another server answered at its address.
+    /// Whether another server responded at its address.
     pub replaced: bool,
-    /// What outcomes tell about it.
+    /// The circuit breaker, which the outcomes of calls drive.
     pub circuit_breaker: CircuitBreaker,
-    /// The parts of prompts that it is believed to keep.
+    /// The prompt parts that its prefix cache presumably holds.
     pub parts: CachedParts,
-    /// The parts of prompts that this node sent there lately.
+    /// The prompt parts that this node recently sent to it.
     pub recent: RecentParts,
-    /// The parts of prompts that others sent there lately, as they told it themselves.
-    pub recent_near: RecentParts,
-    /// The parts of prompts that others sent there lately, as relays passed it on.
-    pub recent_far: RecentParts,
-    /// How many times the predicted time first tokens took lately.
+    /// The prompt parts that other nodes recently sent to it, as reported by themselves.
+    pub recent_direct: RecentParts,
+    /// The prompt parts that other nodes recently sent to it, as reported by relays.
+    pub recent_relayed: RecentParts,
+    /// The moving average of the ratio between actual and predicted time to the first token.
     pub slowness: f64,
-    /// What this node has running there.
+    /// The load of this node's requests there.
     pub own: Load,
     /// Its connections.
     pub pool: Arc<Pool>,
-    told: HashMap<Incarnation, (Stamp, Load)>,
+    reported: HashMap<Incarnation, (Stamp, Load)>,
 }
 
 impl Backend {
-    /// Returns a backend server of which nothing but its record is known.
+    /// Returns a backend server of which only the record is known.
     pub fn new(name: &str, identity: u64, record: BackendRecord) -> Backend {
         Backend {
             name: name.into(),
@@ -67,74 +67,74 @@
             circuit_breaker: CircuitBreaker::default(),
             parts: CachedParts::default(),
             recent: RecentParts::default(),
-            recent_near: RecentParts::default(),
-            recent_far: RecentParts::default(),
+            recent_direct: RecentParts::default(),
+            recent_relayed: RecentParts::default(),
             slowness: 1.0,
             own: Load::default(),
-            told: HashMap::new(),
+            reported: HashMap::new(),
         }
     }
 
-    /// Returns whether new work may be sent to it.
-    pub fn is_open(&self) -> bool {
+    /// Returns whether it accepts new work.
+    pub fn accepts_work(&self) -> bool {
         self.record.state == BackendState::Ready && !self.replaced
     }
 
-    /// Notes what another node has running there.
-    pub fn hear(&mut self, now: Stamp, node: Incarnation, load: Load) {
-        // Each restart of a node has a life of its own; without this they would pile up.
-        self.told.retain(|_, (at, _)| now.since(*at) < TOLD_FOR);
-        self.told.insert(node, (now, load));
+    /// Notes the load that another node reported.
+    pub fn note_reported(&mut self, now: Stamp, node: Incarnation, load: Load) {
+        // Each restart of a node has another incarnation; without this, entries would accumulate.
+        self.reported.retain(|_, (at, _)| now.since(*at) < REPORT_TIMEOUT);
+        self.reported.insert(node, (now, load));
     }
 
-    /// Drops what a node told that has nothing running there any more.
-    pub fn unhear(&mut self, node: Incarnation) {
-        self.told.remove(&node);
+    /// Drops the load that a node reported.
+    pub fn clear_reported(&mut self, node: Incarnation) {
+        self.reported.remove(&node);
     }
 
-    /// Drops what all others told.
-    pub fn unhear_all(&mut self) {
-        self.told.clear();
+    /// Drops the loads that all other nodes reported.
+    pub fn clear_all_reported(&mut self) {
+        self.reported.clear();
     }
 
-    /// Returns the load of this node and of those others for whose lives `counts` is true.
+    /// Returns the load of this node and of the other nodes for whose incarnations `counts` is true.
     pub fn load(&self, now: Stamp, counts: impl Fn(Incarnation) -> bool) -> Load {
         let mut sum = self.own;
-        for (life, (at, load)) in &self.told {
-            if now.since(*at) < TOLD_FOR && counts(*life) {
+        for (incarnation, (at, load)) in &self.reported {
+            if now.since(*at) < REPORT_TIMEOUT && counts(*incarnation) {
                 sum = sum.plus(*load);
             }
         }
         sum
     }
 
-    /// Returns the requests of all nodes there.
+    /// Returns the number of requests of all nodes there.
     pub fn requests(&self, now: Stamp) -> u32 {
-        self.own.requests + self.heard(now).map(|load| load.requests).sum::<u32>()
+        self.own.requests + self.valid_reports(now).map(|load| load.requests).sum::<u32>()
     }
 
-    /// Returns the waiting tokens of all nodes there that are at least as urgent as `rank`.
+    /// Returns the waiting tokens of all nodes there with a priority at least as urgent as `rank`.
     pub fn waiting_before(&self, now: Stamp, rank: u8) -> u64 {
-        let heard: u64 = self.heard(now).map(|load| load.waiting_before(rank)).sum();
-        self.own.waiting_before(rank) + heard
+        let others: u64 = self.valid_reports(now).map(|load| load.waiting_before(rank)).sum();
+        self.own.waiting_before(rank) + others
     }
 
-    /// Returns the tokens of all nodes in its memory.
+    /// Returns the tokens of all nodes' requests in its KV cache.
     pub fn held(&self, now: Stamp) -> u64 {
-        let heard: u64 = self.heard(now).map(|load| u64::from(load.held)).sum();
-        u64::from(self.own.held) + heard
+        let others: u64 = self.valid_reports(now).map(|load| u64::from(load.held)).sum();
+        u64::from(self.own.held) + others
     }
 
-    /// Notes how long a first token took against what was predicted.
+    /// Notes the predicted and the actual time to a first token.
     pub fn note_first_token(&mut self, predicted: Duration, took: Duration) {
         let predicted = predicted.as_secs_f64().max(0.02);
-        let (least, most) = SLOWNESS_BOUNDS;
-        let seen = (took.as_secs_f64() / predicted).clamp(least, most);
-        self.slowness += (seen - self.slowness) * SLOWNESS_STEP;
+        let (min, max) = SLOWNESS_BOUNDS;
+        let sample = (took.as_secs_f64() / predicted).clamp(min, max);
+        self.slowness += (sample - self.slowness) * SLOWNESS_WEIGHT;
     }
 
-    fn heard(&self, now: Stamp) -> impl Iterator<Item = &Load> {
-        let fresh = self.told.values().filter(move |(at, _)| now.since(*at) < TOLD_FOR);
+    fn valid_reports(&self, now: Stamp) -> impl Iterator<Item = &Load> {
+        let fresh = self.reported.values().filter(move |(at, _)| now.since(*at) < REPORT_TIMEOUT);
         fresh.map(|(_, load)| load)
     }
 }
--- a/crates/gateway/src/backends/directory.rs
+++ b/crates/gateway/src/backends/directory.rs
@@ -1,4 +1,4 @@
-//! The backend servers by name and service.
+//! The known backend servers, by name and service.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -13,34 +13,34 @@
 
 use crate::{
     adapter::{BackendRecord, BackendState},
-    backends::{Backend, RecordNews},
+    backends::{Backend, BackendUpdates},
     change_log::ChangeLog,
 };
 
-/// How long after the return of the key-value service a record may stay missing: those that lapsed
-/// are back within two seconds if their servers live.
-const MISSING_FOR: Duration = Duration::from_millis(2_200);
+/// How long a record may stay missing after the key-value service recovers: live servers rewrite their
+/// expired records within two seconds.
+const MISSING_GRACE: Duration = Duration::from_millis(2_200);
 
-/// The servers that went last of which is known when: more than a few minutes of the largest fleet.
-const GONE_KEPT: usize = 4_096;
+/// The maximum number of tombstones of removed servers: enough for some minutes in the largest fleet.
+const MAX_TOMBSTONES: usize = 4_096;
 
 /// `Backends` are the backend servers that a node knows.
 #[derive(Debug, Default)]
 pub struct Backends {
     arena: SlotMap<WorkerKey, Backend>,
     names: HashMap<Arc<str>, WorkerKey>,
-    /// The changes of records since the start.
-    changes: ChangeLog<String, GONE_KEPT>,
+    /// The record changes since the start.
+    changes: ChangeLog<String, MAX_TOMBSTONES>,
 }
 
 impl Backends {
-    /// Takes in the record of a backend server.
+    /// Adds or updates the record of a backend server.
     pub fn upsert(&mut self, name: &str, record: BackendRecord) {
         if let Some(backend) = self.named_mut(name) {
-            let same = backend.record.address == record.address
+            let same_incarnation = backend.record.address == record.address
                 && backend.record.service == record.service
                 && backend.record.born == record.born;
-            if same {
+            if same_incarnation {
                 backend.missing_until = None;
                 if backend.record == record {
                     return;
@@ -52,7 +52,7 @@
                 self.note_change(name);
                 return;
             }
-            // The same name with another life knows nothing of what the earlier one held.
+            // Another incarnation under the same name has lost the state of the earlier one.
             self.remove(name);
         }
         log_state(name, &record);
@@ -70,28 +70,27 @@
         }
     }
 
-    /// Returns the changes of records after that with the number `after`, or all records where these are
-    /// not known any more.
-    pub fn news(&self, after: u64) -> RecordNews {
-        let told = |backend: &Backend| (backend.name.to_string(), backend.record.clone());
+    /// Returns the updates after the change `after`, or all records if the log does not reach back that far.
+    pub fn updates_since(&self, after: u64) -> BackendUpdates {
+        let entry = |backend: &Backend| (backend.name.to_string(), backend.record.clone());
         let records = |after| {
             let changed = self.arena.values().filter(|backend| after < backend.changed_at);
-            changed.map(told).collect()
+            changed.map(entry).collect()
         };
-        self.changes.news(after, records, |name| self.names.contains_key(name.as_str()))
+        self.changes.updates_since(after, records, |name| self.names.contains_key(name.as_str()))
     }
 
-    /// Takes in what another node told of changes.
-    pub fn take_news(&mut self, news: RecordNews) {
-        let RecordNews { after, records, gone, .. } = news;
+    /// Applies updates from another node.
+    pub fn apply_updates(&mut self, updates: BackendUpdates) {
+        let BackendUpdates { after, records, removed, .. } = updates;
         if after == 0 {
-            let told: BTreeSet<&str> = records.iter().map(|(name, _)| name.as_str()).collect();
+            let listed: BTreeSet<&str> = records.iter().map(|(name, _)| name.as_str()).collect();
             let names: Vec<Arc<str>> = self.names.keys().cloned().collect();
-            for name in names.iter().filter(|name| !told.contains(&***name)) {
+            for name in names.iter().filter(|name| !listed.contains(&***name)) {
                 self.remove(name);
             }
         }
-        for name in gone {
+        for name in removed {
             self.remove(&name);
         }
         for (name, record) in records {
@@ -99,55 +98,56 @@
         }
     }
 
-    /// Notes that the record of a backend server is missing; `returned_at` is when the key-value
-    /// service last answered again after an outage.
+    /// Notes that the record of a backend server is missing; `recovered_at` is when the key-value
+    /// service last recovered from an outage.
     ///
-    /// Records lapse while the service is away, though the servers live. Taken for gone, all servers
-    /// would be lost at once. The time for them to come back counts from the service's return: a
-    /// server that leaves later is gone like any other.
-    pub fn note_missing(&mut self, now: Stamp, name: &str, returned_at: Option<Stamp>) {
-        let until = returned_at.map(|returned_at| returned_at + MISSING_FOR);
+    /// Records expire during an outage although their servers are alive. If they were removed, all
+    /// servers would be lost at once. The grace period starts when the service recovers: a record that
+    /// disappears after it is removed at once.
+    pub fn note_missing(&mut self, now: Stamp, name: &str, recovered_at: Option<Stamp>) {
+        let until = recovered_at.map(|recovered_at| recovered_at + MISSING_GRACE);
         match (until, self.named_mut(name)) {
             (Some(until), Some(backend)) if now < until => backend.missing_until = Some(until),
             _ => self.remove(name),
         }
     }
 
-    /// Removes those that were missing for too long.
+    /// Removes the servers whose grace period is over.
     pub fn expire(&mut self, now: Stamp) {
         self.remove_missing(|until| until <= now);
     }
 
-    fn remove_missing(&mut self, is_over: impl Fn(Stamp) -> bool) {
-        let missing = |backend: &Backend| backend.missing_until.is_some_and(&is_over);
-        let gone: Vec<Arc<str>> = self
+    fn remove_missing(&mut self, is_expired: impl Fn(Stamp) -> bool) {
+        let missing = |backend: &Backend| backend.missing_until.is_some_and(&is_expired);
+        let expired: Vec<Arc<str>> = self
             .arena
             .values()
             .filter(|backend| missing(backend))
             .map(|backend| Arc::clone(&backend.name))
             .collect();
-        for name in gone {
+        for name in expired {
             self.remove(&name);
         }
     }
 
-    /// Removes all that are missing: another node knows that the service was not away, and that only
-    /// this node's way to it was. Their records did not lapse, so the servers are gone.
+    /// Removes all servers whose records are missing: another node has proven that the service had no
+    /// outage and that only this node could not reach it. The records did not expire, so the servers
+    /// have left.
     pub fn drop_missing(&mut self) {
         self.remove_missing(|_| true);
     }
 
-    /// Keeps only those whose names are listed; others are missing.
+    /// Notes that the records of all servers whose names are not in `listed` are missing.
     pub fn retain_listed(
         &mut self,
         now: Stamp,
         listed: &BTreeSet<String>,
-        returned_at: Option<Stamp>,
+        recovered_at: Option<Stamp>,
     ) {
         let names: Vec<Arc<str>> = self.names.keys().cloned().collect();
         for name in names {
             if !listed.contains(&*name) {
-                self.note_missing(now, &name, returned_at);
+                self.note_missing(now, &name, recovered_at);
             }
         }
     }
@@ -156,21 +156,21 @@
     pub fn remove(&mut self, name: &str) {
         let Some(key) = self.names.remove(name) else { return };
         self.arena.remove(key);
-        self.changes.note_gone(name.to_owned());
+        self.changes.note_removed(name.to_owned());
         tracing::info!(event = Event::BackendGone.number(), backend = name);
     }
 
-    /// Returns a backend server that is still known.
+    /// Returns a backend server.
     pub fn get(&self, key: WorkerKey) -> Option<&Backend> {
         self.arena.get(key)
     }
 
-    /// Returns a backend server that is still known, to be changed.
+    /// Returns a mutable reference to a backend server.
     pub fn get_mut(&mut self, key: WorkerKey) -> Option<&mut Backend> {
         self.arena.get_mut(key)
     }
 
-    /// Returns the backend server with a name, to be changed.
+    /// Returns a mutable reference to the backend server with a name.
     pub fn named_mut(&mut self, name: &str) -> Option<&mut Backend> {
         let key = *self.names.get(name)?;
         self.arena.get_mut(key)
@@ -181,14 +181,14 @@
         self.arena.iter()
     }
 
-    /// Returns all backend servers, to be changed.
+    /// Returns mutable references to all backend servers.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (WorkerKey, &mut Backend)> {
         self.arena.iter_mut()
     }
 
-    /// Returns those of a service whose memory can be copied from, also where they leave: what they keep
-    /// would be lost with them.
-    pub fn keeping<'a>(
+    /// Returns the servers of a service from whose prefix caches others can copy. This includes leaving
+    /// servers, as their cached parts would be lost with them.
+    pub fn copy_sources<'a>(
         &'a self,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = (WorkerKey, &'a Backend)> {
@@ -199,14 +199,14 @@
         })
     }
 
-    /// Returns those of a service that take new work.
-    pub fn open<'a>(
+    /// Returns the servers of a service that accept new work.
+    pub fn accepting<'a>(
         &'a self,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = (WorkerKey, &'a Backend)> {
-        self.arena
-            .iter()
-            .filter(move |(_, backend)| backend.record.service == *service && backend.is_open())
+        self.arena.iter().filter(move |(_, backend)| {
+            backend.record.service == *service && backend.accepts_work()
+        })
     }
 }
 
--- /dev/null
+++ b/crates/gateway/src/cluster/advertise.rs
@@ -0,0 +1,200 @@
+//! Creation of digests: of the node itself, and as a relay of the nodes that it aggregates.
+
+use std::{collections::BTreeMap, time::Duration};
+
+use bulrushhall_coord::{Role, TeamCounts, Window, usage::WindowSelection};
+use bulrushhall_core::{Incarnation, ServiceName, Stamp, TeamName};
+use bulrushhall_policy::{parts::PromptPart, quota::QuotaReport};
+
+use crate::{
+    clock,
+    cluster::{BackendLoad, Digest, DigestScope, LiveNode, as_millis},
+    demand::Offered,
+    gateway::{Gateway, State},
+};
+
+/// How long a prompt part is reported after it was sent: three of four digests may be lost.
+const PARTS_REPORTED_FOR: Duration = Duration::from_millis(1_000);
+/// How long a prompt part is reported when relays are in use: one of two digests may be lost.
+const PARTS_RELAYED_FOR: Duration = Duration::from_millis(450);
+/// The number of rounds after which all usage windows are reported instead of only the newest.
+const ALL_WINDOWS_INTERVAL: u64 = 8;
+/// The number of rounds after which relays report values that may be late.
+const LATE_VALUES_INTERVAL: u64 = 4;
+/// The minimum quota per second that a team has to options to be reported.
+const MIN_REPORTED_DEMAND: f64 = 1.0;
+
+/// `DigestOptions` are the scopes and the receiver of a digest.
+#[derive(Clone, Copy, Debug)]
+pub struct DigestOptions {
+    /// The nodes that it is about.
+    pub scope: DigestScope,
+    /// The nodes that the reply is to be about.
+    pub reply_scope: DigestScope,
+    /// The incarnation of the receiver, if there is only one.
+    pub to: Option<Incarnation>,
+}
+
+/// Returns a node's digest.
+pub fn build_digest(gateway: &Gateway, options: DigestOptions) -> Digest {
+    let now = clock::now();
+    let ready = gateway.is_ready();
+    let revision = gateway.revision();
+    gateway.with(|state| {
+        let DigestOptions { scope, reply_scope, .. } = options;
+        let age = state.freshness.age(now);
+        let unlisted = state.members.unlisted(now);
+        let mut digest = Digest {
+            record: Some(gateway.record()),
+            unlisted: unlisted.map(|(name, record)| (name.clone(), record.clone())).collect(),
+            wall_clock_ms: as_millis(gateway.own_wall_clock()),
+            ready,
+            revision,
+            config_age_ms: age.map(as_millis),
+            records_steady_ms: state.records_steady_since.map(|since| as_millis(now.since(since))),
+            scope,
+            reply_scope,
+            record_cursor: state.relay_cursor(now).filter(|_| reply_scope == DigestScope::Others),
+            ..Digest::new(gateway.settings.gateway.name.clone(), gateway.incarnation)
+        };
+        if scope != DigestScope::Nothing {
+            let builder = DigestBuilder { gateway, now, options };
+            builder.fill(state, &mut digest);
+        }
+        digest
+    })
+}
+
+struct DigestBuilder<'a> {
+    gateway: &'a Gateway,
+    now: Stamp,
+    options: DigestOptions,
+}
+
+impl DigestBuilder<'_> {
+    fn fill(&self, state: &mut State, digest: &mut Digest) {
+        digest.live_nodes = self.live_nodes(state);
+        digest.nodes = u32::try_from(digest.live_nodes.len() + 1).unwrap_or(u32::MAX);
+        for (team, quota) in &state.quotas {
+            let report = match self.options.scope {
+                DigestScope::Zone => quota.zone_report(self.now),
+                DigestScope::Others => quota.report_excluding(self.now, self.receiver()),
+                DigestScope::Own | DigestScope::Nothing => quota.report(self.now),
+            };
+            let QuotaReport { total, demand } = report;
+            digest.quotas.push((team.clone(), total));
+            if MIN_REPORTED_DEMAND <= demand {
+                digest.quota_demands.push((TeamName::clone(team), demand));
+            }
+        }
+        digest.loads = self.loads(state);
+        digest.offered = self.offered(state);
+        // The values of this node itself are reported in every round: nobody else knows them, so they
+        // would be lost with it.
+        let is_own = self.options.scope == DigestScope::Own;
+        if is_own || state.gossip_rounds.is_multiple_of(LATE_VALUES_INTERVAL) {
+            digest.usage = self.usage(state);
+            for (service, observed) in &state.observed {
+                digest
+                    .latency_models
+                    .extend(observed.engines.own_model().map(|model| (service.clone(), model)));
+            }
+        }
+    }
+
+    // A digest for several nodes excludes none of them.
+    fn receiver(&self) -> Incarnation {
+        self.options.to.unwrap_or_default()
+    }
+
+    fn live_nodes(&self, state: &State) -> Vec<LiveNode> {
+        let mut live_nodes = Vec::new();
+        let zone = &self.gateway.settings.gateway.zone;
+        for (_, member) in state.members.iter() {
+            let incarnation = member.record.incarnation;
+            let is_included = match self.options.scope {
+                DigestScope::Zone => member.record.zone == *zone && member.is_live_direct(self.now),
+                DigestScope::Others => incarnation != self.receiver() && member.is_live(self.now),
+                DigestScope::Own | DigestScope::Nothing => false,
+            };
+            let Some(at) = member.last_received.filter(|_| is_included) else { continue };
+            let age_ms = u16::try_from(as_millis(self.now.since(at))).unwrap_or(u16::MAX);
+            live_nodes.push(LiveNode { incarnation, ready: member.ready, age_ms });
+        }
+        live_nodes
+    }
+
+    fn loads(&self, state: &mut State) -> Vec<BackendLoad> {
+        let (now, scope, receiver) = (self.now, self.options.scope, self.receiver());
+        let is_flat = state.relays.role == Role::Flat;
+        let reported_for = if is_flat { PARTS_REPORTED_FOR } else { PARTS_RELAYED_FOR };
+        let sources = &state.sources;
+        let mut loads = Vec::new();
+        for (_, backend) in state.backends.iter_mut() {
+            let load = match scope {
+                DigestScope::Zone => {
+                    backend.load(now, |incarnation| !sources.contains(incarnation))
+                }
+                DigestScope::Others => backend.load(now, |incarnation| incarnation != receiver),
+                DigestScope::Own | DigestScope::Nothing => backend.own,
+            };
+            let mut parts: Vec<PromptPart> = backend.recent.updates(now, reported_for);
+            if matches!(scope, DigestScope::Zone | DigestScope::Others) {
+                parts.extend(backend.recent_direct.updates(now, reported_for));
+            }
+            if scope == DigestScope::Others {
+                parts.extend(backend.recent_relayed.updates(now, reported_for));
+            }
+            parts.sort_unstable_by_key(|part| part.id);
+            parts.dedup_by_key(|part| part.id);
+            if !load.is_empty() || !parts.is_empty() {
+                loads.push(BackendLoad { backend: backend.name.to_string(), load, parts });
+            }
+        }
+        loads
+    }
+
+    fn offered(&self, state: &mut State) -> Vec<(ServiceName, Offered)> {
+        let zone = &self.gateway.settings.gateway.zone;
+        let mut sums: BTreeMap<ServiceName, Offered> = BTreeMap::new();
+        for (service, demand) in &mut state.demand {
+            sums.insert(service.clone(), demand.rate(self.now));
+        }
+        for (_, member) in state.members.iter() {
+            let incarnation = member.record.incarnation;
+            let is_included = match self.options.scope {
+                DigestScope::Zone => {
+                    member.record.zone == *zone && !state.sources.contains(incarnation)
+                }
+                DigestScope::Others => incarnation != self.receiver(),
+                DigestScope::Own | DigestScope::Nothing => false,
+            };
+            if !is_included {
+                continue;
+            }
+            for (service, offered) in &member.offered {
+                let sum = sums.entry(service.clone()).or_default();
+                *sum = sum.plus(*offered);
+            }
+        }
+        sums.into_iter().collect()
+    }
+
+    fn usage(&self, state: &State) -> Vec<(Window, TeamCounts)> {
+        let rounds = match self.options.scope {
+            DigestScope::Own | DigestScope::Nothing => state.gossip_rounds,
+            DigestScope::Zone | DigestScope::Others => state.gossip_rounds / LATE_VALUES_INTERVAL,
+        };
+        let reports_all = rounds.is_multiple_of(ALL_WINDOWS_INTERVAL);
+        let selection = if reports_all { WindowSelection::All } else { WindowSelection::Newest };
+        match self.options.scope {
+            DigestScope::Zone => {
+                state.usage.of_zone(&self.gateway.settings.gateway.zone, selection)
+            }
+            DigestScope::Others => state.usage.of_others(self.receiver(), selection),
+            DigestScope::Own | DigestScope::Nothing => {
+                state.usage.of(self.gateway.incarnation, selection)
+            }
+        }
+    }
+}
--- a/crates/gateway/src/cluster/config.rs
+++ b/crates/gateway/src/cluster/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: watched in the key-value service, and told by other nodes.
+//! Following of the configuration in the key-value service, and its activation from any source.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,23 +13,23 @@
     meters,
 };
 
-/// The wait of a watch: short enough that its answers keep the age of the configuration well below
-/// the time for revocations, long enough to cost less than a call a second.
+/// The duration of a watch: short enough that its responses keep the age of the configuration well below
+/// the time bound for revocations, long enough to cost less than a call a second.
 const WAIT: Duration = Duration::from_millis(1_500);
 
 struct ConfigFollower {
     gateway: Arc<Gateway>,
 }
 
-/// Follows the configuration for ever.
+/// Follows the configuration forever.
 pub async fn follow_config(gateway: Arc<Gateway>) {
     let key = gateway.platform.records.config_key();
     let follower = ConfigFollower { gateway: Arc::clone(&gateway) };
     follow(gateway, key, WAIT, follower).await;
 }
 
-/// Puts a configuration in force unless one at least as new is; returns whether it can be read.
-pub fn take_config(gateway: &Gateway, document: &Bytes, source: &'static str) -> bool {
+/// Activates a configuration unless one at least as new is active; returns whether it can be parsed.
+pub fn activate_config(gateway: &Gateway, document: &Bytes, source: &'static str) -> bool {
     let table = match gateway.platform.records.read_config(document) {
         Ok(table) => table,
         Err(error) => {
@@ -37,8 +37,8 @@
             return false;
         }
     };
-    // Documents overtake each other on their ways. An older one would bring back a route or key
-    // that was taken away; callers would see it served again.
+    // Documents may arrive out of order. An older one would restore a route or key that was removed
+    // since.
     let before = gateway.revision();
     if table.revision <= before {
         return true;
@@ -56,27 +56,27 @@
 }
 
 impl ConfigFollower {
-    fn take(&self, moment: Stamp, changes: Vec<Change>) {
+    fn apply(&self, known_at: Stamp, changes: Vec<Change>) {
         let mut readable = true;
         for change in changes {
             let Some(value) = &change.value else { continue };
             if change.key == self.gateway.platform.records.config_key() {
-                readable &= take_config(&self.gateway, value, "key-value service");
+                readable &= activate_config(&self.gateway, value, "key-value service");
             }
         }
         if readable && self.gateway.table.load().is_some() {
-            self.gateway.with(|state| state.freshness.note(moment));
+            self.gateway.with(|state| state.freshness.note(known_at));
         }
     }
 }
 
 impl Follower for ConfigFollower {
-    fn is_fed(&self) -> bool {
+    fn is_relayed(&self) -> bool {
         let own = self.gateway.revision();
-        self.gateway.with(|state| state.is_config_fed(clock::now(), own))
+        self.gateway.with(|state| state.is_config_relayed(clock::now(), own))
     }
 
-    fn fed(&self) {
+    fn relayed(&self) {
         self.gateway.with(|state| state.config_lost = false);
     }
 
@@ -88,11 +88,11 @@
         self.gateway.with(|state| state.config_lost = true);
     }
 
-    fn listed(&self, asked: Stamp, changes: Vec<Change>) {
-        self.take(asked, changes);
+    fn listed(&self, requested_at: Stamp, changes: Vec<Change>) {
+        self.apply(requested_at, changes);
     }
 
-    fn changed(&self, moment: Stamp, changes: Vec<Change>) {
-        self.take(moment, changes);
+    fn changed(&self, known_at: Stamp, changes: Vec<Change>) {
+        self.apply(known_at, changes);
     }
 }
--- a/crates/gateway/src/duties/fleet.rs
+++ b/crates/gateway/src/duties/fleet.rs
@@ -1,4 +1,4 @@
-//! Orders for backend servers.
+//! Scaling of the fleet: orders for backend servers.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,26 +17,26 @@
     table::{EngineSizes, RouteTable},
 };
 
-/// The part of an engine's memory that running requests may take in the plan; the rest keeps what
-/// prompts share.
-const MEMORY_SHARE: f64 = 0.7;
+/// The fraction of an engine's KV cache that the plan gives to running requests; the rest is for the
+/// prefixes that prompts share.
+const REQUEST_MEMORY_FRACTION: f64 = 0.7;
 
-/// An order that is due, with the demand that it was made from.
+/// A `DueOrder` is an order to give now, with the demand that it is based on.
 struct DueOrder {
     service: ServiceName,
     busy: f64,
     order: CountOrder,
 }
 
-/// What one service's plan is made from.
-struct Outlook<'a> {
+/// A `PlanInput` is the input of one service's plan.
+struct PlanInput<'a> {
     service: &'a ServiceName,
     limits: &'a CountLimits,
     busy: f64,
-    seen: BTreeMap<ZoneName, ZoneServers>,
+    servers: BTreeMap<ZoneName, ZoneServers>,
 }
 
-/// A `FleetDuty` orders as many backend servers as the demand asks for.
+/// A `FleetDuty` orders as many backend servers as the demand requires.
 #[derive(Debug, Default)]
 pub struct FleetDuty {
     planners: HashMap<ServiceName, CountPlanner>,
@@ -46,12 +46,12 @@
     /// Gives the orders that are due.
     pub async fn act(&mut self, gateway: &Arc<Gateway>, holder: &Holder) {
         let Some(table) = gateway.table.load_full() else { return };
-        for DueOrder { service, busy, order } in self.due(gateway, &table) {
+        for DueOrder { service, busy, order } in self.due_orders(gateway, &table) {
             let Some(orders) = &gateway.platform.orders else { return };
             let Some(authority) = holder.authority() else { return };
             match within(ORDER_TIMEOUT, orders.order(&authority, &service, &order)).await {
                 Ok(()) => {
-                    let pace = gateway.with(|state| state.observed(&service).engines.model());
+                    let model = gateway.with(|state| state.observed(&service).engines.model());
                     tracing::info!(
                         event = Event::CountOrdered.number(),
                         service = service.as_str(),
@@ -60,24 +60,24 @@
                         count = order.count,
                         planned_for = self.planned_for(&service),
                         busy,
-                        read_per_ms = pace.prefill_tokens_per_ms(),
-                        event_ms = pace.gap.base,
-                        event_ms_more = pace.gap.slope,
-                        event_tokens = pace.event_tokens,
-                        samples = pace.samples
+                        read_per_ms = model.prefill_tokens_per_ms(),
+                        event_ms = model.gap.base,
+                        event_ms_more = model.gap.slope,
+                        event_tokens = model.event_tokens,
+                        samples = model.samples
                     );
                 }
-                Err(error) => self.refused(&service, &order, &error),
+                Err(error) => self.note_failed_order(&service, &order, &error),
             }
         }
     }
 
-    /// Notes the demand while another node holds the duty.
+    /// Records the demand while another node holds the duties.
     pub fn observe(&mut self, gateway: &Gateway) {
         let Some(table) = gateway.table.load_full() else { return };
         let now = clock::now();
-        for Outlook { service, limits, busy, seen } in outlooks(gateway, &table) {
-            self.planner(gateway, service).observe(now, limits, busy, &seen);
+        for PlanInput { service, limits, busy, servers } in plan_inputs(gateway, &table) {
+            self.planner(gateway, service).observe(now, limits, busy, &servers);
         }
     }
 
@@ -86,11 +86,11 @@
         self.planners.entry(service.clone()).or_insert_with(new)
     }
 
-    fn due(&mut self, gateway: &Gateway, table: &RouteTable) -> Vec<DueOrder> {
+    fn due_orders(&mut self, gateway: &Gateway, table: &RouteTable) -> Vec<DueOrder> {
         let now = clock::now();
         let mut due = Vec::new();
-        for Outlook { service, limits, busy, seen } in outlooks(gateway, table) {
-            for order in self.planner(gateway, service).plan(now, limits, busy, &seen) {
+        for PlanInput { service, limits, busy, servers } in plan_inputs(gateway, table) {
+            for order in self.planner(gateway, service).plan(now, limits, busy, &servers) {
                 due.push(DueOrder { service: service.clone(), busy, order });
             }
         }
@@ -101,7 +101,7 @@
         self.planners.get(service).map_or(0.0, CountPlanner::planned_for)
     }
 
-    fn refused(&mut self, service: &ServiceName, order: &CountOrder, error: &CallError) {
+    fn note_failed_order(&mut self, service: &ServiceName, order: &CountOrder, error: &CallError) {
         tracing::info!(
             event = Event::OrderFailed.number(),
             order = "count",
@@ -117,47 +117,47 @@
     }
 }
 
-fn outlooks<'a>(gateway: &Gateway, table: &'a RouteTable) -> Vec<Outlook<'a>> {
-    let mut outlooks = Vec::new();
+fn plan_inputs<'a>(gateway: &Gateway, table: &'a RouteTable) -> Vec<PlanInput<'a>> {
+    let mut plan_inputs = Vec::new();
     for (service, entry) in &table.services {
         let Some(limits) = &entry.counts else { continue };
-        let (busy, seen) = gateway.with(|state| {
+        let (busy, servers) = gateway.with(|state| {
             let busy = entry.engine.map_or(0.0, |sizes| busy(state, service, sizes));
-            (busy, seen(state, service))
+            (busy, servers(state, service))
         });
-        outlooks.push(Outlook { service, limits, busy, seen });
+        plan_inputs.push(PlanInput { service, limits, busy, servers });
     }
-    outlooks
+    plan_inputs
 }
 
-// The engines that the demand of all nodes keeps busy: with their time, or with their memory where that
-// is what fills up first.
+// Returns the number of engines that the demand of all nodes keeps busy, by compute time or by KV cache,
+// whichever needs more.
 fn busy(state: &mut State, service: &ServiceName, sizes: EngineSizes) -> f64 {
     let now = clock::now();
     let mut offered =
         state.demand.get_mut(service).map_or(Offered::default(), |demand| demand.rate(now));
     for (_, member) in state.members.iter() {
-        let told = member.offered.get(service);
-        offered = offered.plus(told.copied().unwrap_or_default());
+        let reported = member.offered.get(service);
+        offered = offered.plus(reported.copied().unwrap_or_default());
     }
-    let held: u64 = state.backends.open(service).map(|(_, backend)| backend.held(now)).sum();
-    let memory = held as f64 / (sizes.memory.max(1) as f64 * MEMORY_SHARE);
-    offered.busy(&state.observed(service).engines.model(), sizes.slots).max(memory)
+    let held: u64 = state.backends.accepting(service).map(|(_, backend)| backend.held(now)).sum();
+    let memory = held as f64 / (sizes.memory.max(1) as f64 * REQUEST_MEMORY_FRACTION);
+    offered.busy_engines(&state.observed(service).engines.model(), sizes.slots).max(memory)
 }
 
-fn seen(state: &State, service: &ServiceName) -> BTreeMap<ZoneName, ZoneServers> {
-    let mut seen: BTreeMap<ZoneName, ZoneServers> = BTreeMap::new();
+fn servers(state: &State, service: &ServiceName) -> BTreeMap<ZoneName, ZoneServers> {
+    let mut servers: BTreeMap<ZoneName, ZoneServers> = BTreeMap::new();
     for (_, backend) in state.backends.iter() {
         if backend.record.service != *service {
             continue;
         }
-        let of_zone = seen.entry(backend.record.zone.clone()).or_default();
-        match (backend.record.reclaimable, backend.is_open()) {
+        let of_zone = servers.entry(backend.record.zone.clone()).or_default();
+        match (backend.record.reclaimable, backend.accepts_work()) {
             (true, true) => of_zone.reclaimable += 1,
             (true, false) => of_zone.leaving += 1,
             (false, true) => of_zone.on_demand += 1,
             (false, false) => {}
         }
     }
-    seen
+    servers
 }
--- a/crates/gateway/src/duties/mod.rs
+++ b/crates/gateway/src/duties/mod.rs
@@ -1,11 +1,11 @@
-//! Duties that one node at a time carries out.
+//! Duties that only one node at a time carries out.
 
 mod fleet;
 mod holder;
 mod usage;
 
 pub use fleet::FleetDuty;
-pub use holder::{Holder, keep};
+pub use holder::{Holder, keep_lease};
 pub use usage::UsageDuty;
 
 use std::{sync::Arc, time::Duration};
@@ -15,15 +15,15 @@
 
 use crate::gateway::{Gateway, Phase};
 
-/// The time between two looks at what is due.
-const EACH: Duration = Duration::from_millis(200);
+/// The interval of checks for due work.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Carries out the duties whenever this node holds them.
-pub async fn carry_out(gateway: Arc<Gateway>, holder: Arc<Holder>) {
+/// Carries out the duties while this node holds them.
+pub async fn run_duties(gateway: Arc<Gateway>, holder: Arc<Holder>) {
     let mut usage = UsageDuty::default();
     let mut fleet = FleetDuty::default();
-    while gateway.phase() < Phase::Ending {
-        sleep(EACH).await;
+    while gateway.phase() < Phase::Draining {
+        sleep(CHECK_INTERVAL).await;
         if holder.authority().is_none() {
             usage = UsageDuty::default();
             fleet.observe(&gateway);
@@ -34,7 +34,7 @@
     }
 }
 
-// A call that takes longer may have taken effect, or may yet do so.
+// Limits the time of a call. A call that times out may have taken effect, or may still do so.
 async fn within<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, CallError>>,
--- a/crates/gateway/src/duties/usage.rs
+++ b/crates/gateway/src/duties/usage.rs
@@ -1,4 +1,4 @@
-//! The report of the requests that each team began.
+//! Reports of the number of requests that each team has started.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -16,21 +16,22 @@
     gateway::Gateway,
 };
 
-/// Where the reports are fixed.
-const KEY: &str = "bulrushhall-usage";
-/// How long after its end a window is fixed where nodes tell each other: five exchanges of 250 ms.
-const SETTLED_AFTER: Duration = Duration::from_millis(1_300);
-/// How long after its end a window is fixed where relays pass on counts: three ways of 800 ms, and one
-/// message lost.
-const SETTLED_BY_RELAYS: Duration = Duration::from_millis(3_200);
-/// The windows that a new holder sends once more: those whose reports are not due yet.
-const SENT_AGAIN: usize = 3;
+/// The key under which the reports are stored before they are sent.
+const REPORTS_KEY: &str = "bulrushhall-usage";
+/// The time after its end at which a window's counts are final without relays: five gossip intervals of
+/// 250 ms.
+const FINAL_AFTER: Duration = Duration::from_millis(1_300);
+/// The time after its end at which a window's counts are final with relays: three hops of 800 ms and one
+/// lost digest.
+const FINAL_AFTER_WITH_RELAYS: Duration = Duration::from_millis(3_200);
+/// The number of windows that a new holder sends again: those whose reports are not due yet.
+const RESENT_WINDOWS: usize = 3;
 /// The pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(400);
-/// The longest time of a call to the key-value service.
+const RETRY_PAUSE: Duration = Duration::from_millis(400);
+/// The timeout of a call to the key-value service.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A `UsageDuty` reports the windows one after the other.
+/// A `UsageDuty` reports the usage windows in order.
 #[derive(Debug, Default)]
 pub struct UsageDuty {
     fixed: Option<(Version, FixedReports)>,
@@ -39,7 +40,7 @@
 }
 
 impl UsageDuty {
-    /// Fixes and sends what is due.
+    /// Stores and sends the reports that are due.
     pub async fn act(&mut self, gateway: &Arc<Gateway>, holder: &Holder) {
         if clock::now() < self.paused_until {
             return;
@@ -47,7 +48,7 @@
         let acted = self.try_act(gateway, holder).await;
         if let Err(error) = acted {
             tracing::info!(event = Event::OrderFailed.number(), order = "usage", %error);
-            self.paused_until = clock::now() + PAUSE;
+            self.paused_until = clock::now() + RETRY_PAUSE;
         }
     }
 
@@ -57,12 +58,12 @@
         }
         let last_ended = Window(gateway.window().0.saturating_sub(1));
         let role = gateway.with(|state| state.relays.role);
-        let settled_after = if role == Role::Flat { SETTLED_AFTER } else { SETTLED_BY_RELAYS };
-        let settled = settled_after <= gateway.into_window();
-        let last_settled = if settled { last_ended } else { Window(last_ended.0 - 1) };
-        let next = self.fixed.as_ref().and_then(|(_, fixed)| fixed.next(last_settled));
+        let final_after = if role == Role::Flat { FINAL_AFTER } else { FINAL_AFTER_WITH_RELAYS };
+        let is_final = final_after <= gateway.time_into_window();
+        let last_final = if is_final { last_ended } else { Window(last_ended.0 - 1) };
+        let next = self.fixed.as_ref().and_then(|(_, fixed)| fixed.next(last_final));
         if let Some(window) = next {
-            self.fix(gateway, window).await?;
+            self.store(gateway, window).await?;
         }
         while let Some((&window, counts)) = self.unsent.first_key_value() {
             let Some(orders) = &gateway.platform.orders else { return Ok(()) };
@@ -76,24 +77,24 @@
     }
 
     async fn read(&mut self, gateway: &Gateway) -> Result<(), CallError> {
-        let found = within(CALL_TIMEOUT, gateway.platform.key_value.get(KEY)).await?;
+        let found = within(CALL_TIMEOUT, gateway.platform.key_value.get(REPORTS_KEY)).await?;
         let fixed: FixedReports = match found.value.is_empty() {
             true => FixedReports::default(),
             false => rmp_serde::from_slice(&found.value)
                 .map_err(|_| CallError::not_done(CallFault::Malformed))?,
         };
-        // The holder before may have fixed windows and died before it sent them. Sent again, an equal
-        // report changes nothing.
-        for (window, counts) in fixed.windows.iter().rev().take(SENT_AGAIN) {
+        // The previous holder may have stored reports and failed before it sent them. Reports are
+        // idempotent, so they are sent again.
+        for (window, counts) in fixed.windows.iter().rev().take(RESENT_WINDOWS) {
             self.unsent.insert(*window, counts.clone());
         }
         self.fixed = Some((found.version, fixed));
         Ok(())
     }
 
-    // The report is decided before it is sent. A write whose answer is lost may still land, and then
-    // it lands on this version or not at all; reading again tells which report holds.
-    async fn fix(&mut self, gateway: &Gateway, window: Window) -> Result<(), CallError> {
+    // Stores a report before it is sent. A write whose response is lost may still take effect, but only
+    // on this version; reading the key again shows which report was stored.
+    async fn store(&mut self, gateway: &Gateway, window: Window) -> Result<(), CallError> {
         let Some((version, fixed)) = self.fixed.take() else { return Ok(()) };
         let mut counts = gateway.with(|state| state.usage.total(window, gateway.incarnation));
         if let Some(table) = gateway.table.load_full() {
@@ -101,12 +102,13 @@
                 counts.entry(team.name.clone()).or_default();
             }
         }
-        let with = fixed.with(window, counts.clone());
-        let encoded = rmp_serde::to_vec_named(&with);
+        let updated = fixed.with(window, counts.clone());
+        let encoded = rmp_serde::to_vec_named(&updated);
         let encoded = encoded.map_err(|_| CallError::not_done(CallFault::Malformed))?;
-        let put = gateway.platform.key_value.put_if(KEY, version, Bytes::from(encoded), None);
+        let put =
+            gateway.platform.key_value.put_if(REPORTS_KEY, version, Bytes::from(encoded), None);
         if let CasOutcome::Written(version) = within(CALL_TIMEOUT, put).await? {
-            self.fixed = Some((version, with));
+            self.fixed = Some((version, updated));
             self.unsent.insert(window, counts);
         }
         Ok(())
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: its ports, what it follows, and its stop.
+//! Start and shutdown of a node.
 
 use std::{fmt, io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,24 +8,24 @@
 use tokio::{sync::watch, task::JoinHandle, time::sleep};
 
 use crate::{
-    cluster::{PeerPort, exchange, follow_backends, follow_config, follow_members, register},
-    duties::{Holder, carry_out, keep},
+    cluster::{PeerPort, follow_backends, follow_config, follow_members, gossip, register},
+    duties::{Holder, keep_lease, run_duties},
     gateway::{Gateway, Phase, Platform},
     ports::{CallerPort, DirectoryPort, ReadinessPort},
     settings::Settings,
 };
 
-/// How long a node that was told to stop still takes requests: other nodes no longer name it within
-/// half a second, and callers ask anew every two.
-const LEAVING_FOR: Duration = Duration::from_millis(2_200);
-/// What is left of the grace when the node gives up what has not ended.
+/// How long a node still accepts requests after its shutdown begins: other nodes stop giving out its
+/// address within half a second, and callers refresh addresses every two seconds.
+const LEAVING_TIME: Duration = Duration::from_millis(2_200);
+/// The part of the grace period that remains when the node aborts unfinished requests.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
 
-/// The most connections of callers: half of the descriptors that the smallest VM of the early users
-/// has; the rest is for backend servers.
-const CONNECTIONS: usize = 2_000;
+/// The maximum number of connections on a port: half of the file descriptors of the smallest supported VM;
+/// the rest is for connections to backend servers.
+const MAX_CONNECTIONS: usize = 2_000;
 
-/// A `NodeError` tells why a node could not start.
+/// A `NodeError` is the reason why a node could not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeError {
     /// A port could not be opened.
@@ -52,7 +52,7 @@
 }
 
 impl Node {
-    /// Opens the ports and begins to serve.
+    /// Opens the ports and starts to serve.
     pub fn start(settings: Settings, platform: Platform) -> Result<Node, Report<NodeError>> {
         let gateway = Arc::new(Gateway::new(settings, platform));
         let stop = watch::Sender::new(false);
@@ -64,7 +64,7 @@
             (ports.readiness, Arc::new(ReadinessPort::new(Arc::clone(&gateway)))),
             (ports.peers, Arc::new(PeerPort::new(Arc::clone(&gateway)))),
         ];
-        // These answer until the process ends: a node that stops still tells what it knows.
+        // These ports stay open until the process ends: a node that is stopping still takes part in gossip.
         let running = watch::Sender::new(false);
         let mut tasks = Vec::new();
         for (address, handler) in others {
@@ -74,10 +74,10 @@
         tasks.push(tokio::spawn(follow_backends(Arc::clone(&gateway))));
         tasks.push(tokio::spawn(follow_members(Arc::clone(&gateway))));
         tasks.push(tokio::spawn(register(Arc::clone(&gateway))));
-        tasks.push(tokio::spawn(exchange(Arc::clone(&gateway))));
+        tasks.push(tokio::spawn(gossip(Arc::clone(&gateway))));
         let holder = Arc::new(Holder::new(Arc::clone(&gateway)));
-        tasks.push(tokio::spawn(keep(Arc::clone(&holder))));
-        tasks.push(tokio::spawn(carry_out(Arc::clone(&gateway), holder)));
+        tasks.push(tokio::spawn(keep_lease(Arc::clone(&holder))));
+        tasks.push(tokio::spawn(run_duties(Arc::clone(&gateway), holder)));
         tracing::info!(
             event = Event::NodeStarted.number(),
             node = %gateway.settings.gateway.name,
@@ -86,20 +86,20 @@
         Ok(Node { gateway, stop, _running: running, callers, tasks })
     }
 
-    /// Returns what every part of the node reaches.
+    /// Returns the shared state of the node.
     pub fn gateway(&self) -> &Arc<Gateway> {
         &self.gateway
     }
 
-    /// Stops: out of the addresses first, then no new requests, then the end of those open.
+    /// Stops the node: withdraws its address, then stops accepting requests, then drains those in flight.
     pub async fn stop(self) {
         let node = &self.gateway.settings.gateway.name;
         tracing::info!(event = Event::NodeLeaving.number(), %node);
         let grace = Duration::from(self.gateway.settings.bounds.grace);
-        let leaving = LEAVING_FOR.min(grace / 3);
+        let leaving = LEAVING_TIME.min(grace / 3);
         self.gateway.phase.send_replace(Phase::Leaving);
         sleep(leaving).await;
-        self.gateway.phase.send_replace(Phase::Ending);
+        self.gateway.phase.send_replace(Phase::Draining);
         self.stop.send_replace(true);
         let left = grace.saturating_sub(leaving + GRACE_MARGIN);
         let ended = tokio::time::timeout(left, self.callers).await.is_ok();
@@ -121,7 +121,7 @@
     let grace = gateway.settings.bounds.grace.into();
     let options = ServerOptions {
         drain_timeout: grace,
-        max_connections: CONNECTIONS,
+        max_connections: MAX_CONNECTIONS,
         ..ServerOptions::default()
     };
     Ok(tokio::spawn(serve(listener, handler, options, stop)))
--- a/crates/gateway/src/pipeline/events.rs
+++ b/crates/gateway/src/pipeline/events.rs
@@ -1,25 +1,25 @@
-//! Cutting a stream into whole events with their numbers.
+//! Splitting of an event stream into complete events with their ids.
 
 use bytes::{Bytes, BytesMut};
 
-/// The largest event, in bytes; a stream without an end of an event must not fill the memory.
-const EVENT_MOST: usize = 1 << 20;
+/// The maximum size of an event, in bytes: a stream whose event never ends must not exhaust memory.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A `Split` is a run of whole events.
+/// `CompleteEvents` are consecutive complete events of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Split {
+pub struct CompleteEvents {
     /// Their bytes.
     pub bytes: Bytes,
-    /// The number of the last of them that has one.
-    pub last: Option<u64>,
-    /// How many they are.
+    /// The id of the last of them that has one.
+    pub last_id: Option<u64>,
+    /// The number of events.
     pub events: u32,
 }
 
-/// An `EventSplitter` holds back the part of a stream whose event has not ended.
+/// An `EventSplitter` holds back the incomplete event at the end of a stream.
 ///
-/// A backend server that dies in the middle of an event has sent a part of it. Passed on, that part
-/// would be joined with the first event of the server where the stream goes on, and the caller
+/// A backend server may fail in the middle of an event. If the incomplete event were forwarded, the
+/// first event of the server at which the stream is resumed would be appended to it, and the caller
 /// would read one event made of two.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
@@ -29,37 +29,39 @@
 }
 
 impl EventSplitter {
-    /// Returns a splitter that leaves out the events up to the number `after`.
+    /// Returns a splitter that skips the events up to the id `after`.
     pub fn after(after: Option<u64>) -> EventSplitter {
         EventSplitter { skip_to: after, ..EventSplitter::default() }
     }
 
-    /// Adds bytes of the stream; returns the whole events that are there now, if there are any.
-    pub fn push(&mut self, bytes: &[u8]) -> Option<Split> {
+    /// Adds bytes of the stream; returns the events that are complete now, if any.
+    pub fn push(&mut self, bytes: &[u8]) -> Option<CompleteEvents> {
         self.pending.extend_from_slice(bytes);
         let (end, events) = self.end()?;
-        let whole = self.pending.split_to(end).freeze();
+        let complete = self.pending.split_to(end).freeze();
         self.searched = 0;
-        let last = last_number(&whole);
-        let Some(skip_to) = self.skip_to else { return Some(Split { bytes: whole, last, events }) };
-        let kept = skip(&whole, skip_to);
+        let last_id = last_event_id(&complete);
+        let Some(skip_to) = self.skip_to else {
+            return Some(CompleteEvents { bytes: complete, last_id, events });
+        };
+        let kept = skip(&complete, skip_to);
         if !kept.is_empty() {
             self.skip_to = None;
         }
-        (!kept.is_empty()).then_some(Split { bytes: kept, last, events })
+        (!kept.is_empty()).then_some(CompleteEvents { bytes: kept, last_id, events })
     }
 
-    /// Returns whether an event has begun and not ended.
-    pub fn is_within(&self) -> bool {
+    /// Returns whether the stream ends within an event.
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Returns whether the event that has begun is larger than any may be.
-    pub fn is_overfull(&self) -> bool {
-        EVENT_MOST < self.pending.len()
+    /// Returns whether the incomplete event exceeds the maximum size.
+    pub fn is_event_too_large(&self) -> bool {
+        MAX_EVENT_BYTES < self.pending.len()
     }
 
-    // Returns the end of the last whole event, after its empty line, and how many there are.
+    // Returns the end of the last complete event, after its empty line, and the number of events.
     fn end(&mut self) -> Option<(usize, u32)> {
         let from = self.searched.saturating_sub(3);
         self.searched = self.pending.len();
@@ -80,16 +82,16 @@
     }
 }
 
-fn number(line: &[u8]) -> Option<u64> {
+fn event_id(line: &[u8]) -> Option<u64> {
     let value = line.strip_prefix(b"id:")?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-fn last_number(events: &[u8]) -> Option<u64> {
-    events.rsplit(|byte| *byte == b'\n').find_map(number)
+fn last_event_id(events: &[u8]) -> Option<u64> {
+    events.rsplit(|byte| *byte == b'\n').find_map(event_id)
 }
 
-// Leaves out the leading events whose numbers are not above `after`.
+// Skips the leading events whose ids are not above `after`.
 fn skip(events: &Bytes, after: u64) -> Bytes {
     let mut start = 0;
     let mut known = None;
@@ -100,7 +102,7 @@
         }
         let line = &events[line_start..at];
         line_start = at + 1;
-        known = number(line).or(known);
+        known = event_id(line).or(known);
         if !matches!(line, b"" | b"\r") {
             continue;
         }
--- /dev/null
+++ b/crates/gateway/src/pipeline/forward.rs
@@ -0,0 +1,288 @@
+//! Forwarding of a response as it arrives, and resumption at another backend server when its sender fails.
+
+use std::{error, fmt, sync::Arc, time::Duration};
+
+use bulrushhall_core::{Event, ServiceName, config::RouteKind};
+use bulrushhall_external::http::{Body, BoxError};
+use bulrushhall_policy::placement::WorkerKey;
+use bytes::Bytes;
+use futures_util::stream::unfold;
+use http_body_util::{BodyExt, StreamBody};
+use hyper::body::{Body as _, Frame};
+use tokio::time::timeout;
+
+use crate::{
+    clock,
+    gateway::Gateway,
+    pipeline::{
+        EventSplitter, StreamGaps,
+        access_log::AccessLogEntry,
+        attempt::{BackendResponse, OriginalRequest, SendFault, attempt, note_outcome},
+        identify::IdentifiedRequest,
+        placement::{PlacementQuery, place},
+        serve::{MAX_CONNECT_FAILURES, service_hash, take_retry},
+    },
+};
+
+/// The longest pause in a resumable stream, as a multiple of the route's target gap; it is at least
+/// [`MIN_STALL`]. Callers give up after eight times the target gap.
+const STALL_GAPS: u32 = 4;
+/// The shortest pause after which a stream is resumed at another engine: the prefill of a long prompt
+/// delays the other streams of its engine by some hundred milliseconds.
+const MIN_STALL: Duration = Duration::from_millis(900);
+
+/// A `ResponseForwarder` forwards a response to the caller.
+pub struct ResponseForwarder {
+    /// The node.
+    pub gateway: Arc<Gateway>,
+    /// The request.
+    pub req: IdentifiedRequest,
+    /// The request as it was received.
+    pub original: OriginalRequest,
+    /// The response; none between a server that failed and the next one.
+    pub backend_response: Option<BackendResponse>,
+    /// The backend servers that the request was sent to.
+    pub tried: Vec<WorkerKey>,
+    /// The access log entry.
+    pub log_entry: AccessLogEntry,
+    splitter: EventSplitter,
+    gaps: StreamGaps,
+    last_event: Option<u64>,
+    ended: bool,
+}
+
+/// A `ForwardError` is the reason why a response was cut short.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ForwardError {
+    /// The backend server failed, and the response could not be resumed.
+    Broken,
+    /// The caller's deadline or the route's timeout was reached.
+    TimedOut,
+}
+
+impl fmt::Display for ForwardError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ForwardError::Broken => "the backend server failed before the end of its response",
+            ForwardError::TimedOut => "the deadline has passed",
+        })
+    }
+}
+
+impl error::Error for ForwardError {}
+
+enum Step {
+    Frame(Bytes),
+    Nothing,
+    End,
+    Broken,
+}
+
+impl ResponseForwarder {
+    /// Returns a forwarder of a response whose head has arrived.
+    pub fn new(
+        gateway: Arc<Gateway>,
+        req: IdentifiedRequest,
+        original: OriginalRequest,
+        backend_response: BackendResponse,
+        tried: Vec<WorkerKey>,
+        log_entry: AccessLogEntry,
+    ) -> ResponseForwarder {
+        let last_event = req.call.resume_after;
+        ResponseForwarder {
+            gateway,
+            req,
+            original,
+            backend_response: Some(backend_response),
+            tried,
+            log_entry,
+            splitter: EventSplitter::default(),
+            gaps: StreamGaps::default(),
+            last_event,
+            ended: false,
+        }
+    }
+
+    /// Returns the body that the caller reads.
+    pub fn into_body(self) -> Body {
+        let frames = unfold(self, |mut forwarder| async move {
+            let frame = forwarder.next().await?;
+            Some((frame.map(Frame::data), forwarder))
+        });
+        StreamBody::new(frames).boxed_unsync()
+    }
+
+    // An error closes the connection without the regular end of the body, so that the caller never
+    // takes a partial response for a complete one.
+    async fn next(&mut self) -> Option<Result<Bytes, BoxError>> {
+        if self.ended {
+            return None;
+        }
+        loop {
+            if self.original.deadline <= clock::now() {
+                return self.cut(ForwardError::TimedOut);
+            }
+            if self.backend_response.is_none() && !self.resume().await {
+                return self.cut(ForwardError::Broken);
+            }
+            match self.step().await {
+                Step::Frame(bytes) => {
+                    // hyper does not poll again after the last byte of a body of known length.
+                    if self.is_complete() {
+                        self.finish();
+                    }
+                    return Some(Ok(bytes));
+                }
+                Step::Nothing => continue,
+                Step::End => {
+                    self.finish();
+                    return None;
+                }
+                Step::Broken => self.drop_broken(),
+            }
+        }
+    }
+
+    async fn step(&mut self) -> Step {
+        let frame_timeout = self.frame_timeout();
+        let Some(backend_response) = &mut self.backend_response else { return Step::Broken };
+        let Ok(frame) = timeout(frame_timeout, backend_response.body.frame()).await else {
+            return Step::Broken;
+        };
+        let frame = match frame {
+            Some(Ok(frame)) => frame,
+            Some(Err(_)) => return Step::Broken,
+            // A partial event at the end means that the stream was cut, even if the body ended regularly.
+            None if self.splitter.has_partial_event() => return Step::Broken,
+            None => return Step::End,
+        };
+        let Ok(bytes) = frame.into_data() else { return Step::Nothing };
+        backend_response.in_flight.note_started();
+        self.log_entry.note_started();
+        if !self.req.route.cfg.kind.is_stream() || !backend_response.head.status.is_success() {
+            return Step::Frame(bytes);
+        }
+        let split = self.splitter.push(&bytes);
+        if self.splitter.is_event_too_large() {
+            return Step::Broken;
+        }
+        let Some(split) = split else { return Step::Nothing };
+        self.last_event = split.last_id.or(self.last_event);
+        self.gaps.note(clock::now(), split.events);
+        Step::Frame(split.bytes)
+    }
+
+    fn is_complete(&self) -> bool {
+        let ended = self
+            .backend_response
+            .as_ref()
+            .is_some_and(|backend_response| backend_response.body.is_end_stream());
+        ended && !self.splitter.has_partial_event()
+    }
+
+    // The time limit for the next frame. A server that stops sending without a reset is given up after
+    // it if the stream can be resumed; no other response is ended because of a pause.
+    fn frame_timeout(&self) -> Duration {
+        let left = self.original.deadline.since(clock::now());
+        if !self.may_resume() {
+            return left;
+        }
+        let gap = self.req.route.cfg.target_gap.map_or(Duration::ZERO, Duration::from);
+        let mut max = (gap * STALL_GAPS).max(MIN_STALL);
+        if let Some(backend_response) = &self.backend_response {
+            max += backend_response.placement.footprint.expected.unwrap_or_default();
+        }
+        max.min(left)
+    }
+
+    fn may_resume(&self) -> bool {
+        self.req.route.cfg.kind == RouteKind::ResumableStream
+            && self.log_entry.sends < self.req.route.cfg.attempts
+    }
+
+    async fn resume(&mut self) -> bool {
+        if !self.may_resume() {
+            return false;
+        }
+        let hash = service_hash(&self.req);
+        let Some(service) = self.req.route.cfg.service(hash).cloned() else { return false };
+        if !take_retry(&self.gateway, &self.req, &service, &self.log_entry) {
+            return false;
+        }
+        // Engines often fail together, and some of them are not known to be dead yet. If no connection
+        // could be opened, nothing was sent, so the next engine is tried.
+        for _ in 0..MAX_CONNECT_FAILURES {
+            match self.resume_at_next(&service).await {
+                Ok(backend_response) => {
+                    self.splitter = EventSplitter::after(self.last_event);
+                    self.backend_response = Some(backend_response);
+                    return true;
+                }
+                Err(SendFault::NotOpened(_)) => self.log_entry.note_unsent(),
+                Err(_) => return false,
+            }
+        }
+        false
+    }
+
+    async fn resume_at_next(
+        &mut self,
+        service: &ServiceName,
+    ) -> Result<BackendResponse, SendFault> {
+        let left = self.original.deadline.since(clock::now());
+        let query = PlacementQuery { req: &self.req, service, tried: &self.tried, left };
+        // Without a backend server the request is not run again.
+        let placement = place(&self.gateway, query).map_err(|_| SendFault::NotRun)?;
+        self.tried.push(placement.key);
+        self.log_entry.note_attempt(&placement);
+        tracing::info!(
+            event = Event::StreamResumed.number(),
+            id = self.req.call.id.as_str(),
+            backend = &*placement.name,
+            after = self.last_event
+        );
+        let sent =
+            attempt(&self.gateway, &self.req, &self.original, &placement, self.last_event, left)
+                .await;
+        let backend_response = sent.map_err(|failed| failed.fault)?;
+        // An error response can't follow the events that the caller already has.
+        if backend_response.head.status.is_success() {
+            Ok(backend_response)
+        } else {
+            Err(SendFault::Foreign)
+        }
+    }
+
+    fn drop_broken(&mut self) {
+        let Some(backend_response) = self.backend_response.take() else { return };
+        note_outcome(&self.gateway, &backend_response.placement, false);
+    }
+
+    fn finish(&mut self) {
+        self.ended = true;
+        self.log_entry.note_complete();
+        self.note_gaps();
+        let Some(backend_response) = self.backend_response.take() else { return };
+        let BackendResponse { head, connection, placement, .. } = backend_response;
+        if !head.closing {
+            placement.pool.keep(clock::now(), connection, head.idle);
+        }
+    }
+
+    // The gaps of a resumed stream come from two engines, so they are no sample of either.
+    fn note_gaps(&self) {
+        let (Some(backend_response), 1) = (&self.backend_response, self.log_entry.sends) else {
+            return;
+        };
+        let Some(prompt) = &self.req.call.prompt else { return };
+        let Some((gap, events)) = self.gaps.median() else { return };
+        backend_response.in_flight.note_stream(gap, events, prompt.answer());
+    }
+
+    fn cut(&mut self, fault: ForwardError) -> Option<Result<Bytes, BoxError>> {
+        self.ended = true;
+        self.backend_response = None;
+        self.log_entry.note_cut();
+        Some(Err(fault.into()))
+    }
+}
--- a/crates/gateway/src/pipeline/identify.rs
+++ b/crates/gateway/src/pipeline/identify.rs
@@ -1,4 +1,4 @@
-//! Who asks, and by which route.
+//! Identification of the caller's team and of the route.
 
 use std::sync::Arc;
 
@@ -11,15 +11,15 @@
     table::{Route, RouteTable, TeamEntry},
 };
 
-/// The bytes of a header besides its name and value.
-const HEADER_EXTRA: usize = 4;
+/// The bytes of a header line besides the name and the value: colon, space and line end.
+const HEADER_OVERHEAD: usize = 4;
 
-/// An `Identified` request has a route and, where that asks for one, a team.
+/// An `IdentifiedRequest` is a request with its route and, if that route needs one, its team.
 #[derive(Clone, Debug)]
-pub struct Identified {
-    /// What the caller asks for.
+pub struct IdentifiedRequest {
+    /// What the caller requests.
     pub call: Arc<Call>,
-    /// The configuration that it is handled by.
+    /// The configuration under which it is handled.
     pub table: Arc<RouteTable>,
     /// The route.
     pub route: Arc<Route>,
@@ -27,16 +27,16 @@
     pub team: Option<Arc<TeamEntry>>,
 }
 
-impl Identified {
-    /// Returns the rank of urgency, 0 being the first.
+impl IdentifiedRequest {
+    /// Returns the priority, 0 being the most urgent.
     pub fn rank(&self) -> u8 {
-        let of_team = self.team.as_ref().and_then(|team| team.priority);
-        of_team.unwrap_or(self.route.cfg.priority).min(9)
+        let team_priority = self.team.as_ref().and_then(|team| team.priority);
+        team_priority.unwrap_or(self.route.cfg.priority).min(9)
     }
 }
 
-/// Identifies a request.
-pub fn identify(gateway: &Gateway, head: &request::Parts) -> Result<Identified, Failure> {
+/// Returns a request with its route and team.
+pub fn identify(gateway: &Gateway, head: &request::Parts) -> Result<IdentifiedRequest, Failure> {
     let call = gateway.platform.wire.read_call(head).map_err(Failure::Malformed)?;
     let table = gateway.table.load_full().ok_or(Failure::ConfigUnknown)?;
     if table.limits.head_bytes < head_bytes(head) {
@@ -46,29 +46,33 @@
         return Err(Failure::ConfigUnknown);
     }
     let Some(route) = table.route(&call.host, head.uri.path()).cloned() else {
-        // The route may be in a newer configuration that this node could not learn.
-        return Err(if gateway.is_certain() { Failure::NoRoute } else { Failure::ConfigUnknown });
+        // The route may be in a newer configuration that this node did not receive.
+        return Err(if gateway.is_config_current() {
+            Failure::NoRoute
+        } else {
+            Failure::ConfigUnknown
+        });
     };
     let mut team = None;
     if table.is_keyed() && !route.cfg.anonymous {
         team = call.key.as_deref().and_then(|key| table.team(key)).cloned();
         if team.is_none() {
-            let certain = gateway.is_certain();
-            return Err(if certain { Failure::UnknownKey } else { Failure::ConfigUnknown });
+            let is_current = gateway.is_config_current();
+            return Err(if is_current { Failure::UnknownKey } else { Failure::ConfigUnknown });
         }
-        // The key may have been taken away in a newer configuration.
+        // The key may have been revoked in a newer configuration.
         if !gateway.may_use_keys() {
             return Err(Failure::ConfigUnknown);
         }
     }
-    Ok(Identified { call: Arc::new(call), table, route, team })
+    Ok(IdentifiedRequest { call: Arc::new(call), table, route, team })
 }
 
-// The bytes of a head as they are sent: each header has a colon, a space and the end of its line.
+// The size of a head on the wire.
 fn head_bytes(head: &request::Parts) -> usize {
     let headers = head.headers.iter();
     let headers: usize =
-        headers.map(|(name, value)| name.as_str().len() + value.len() + HEADER_EXTRA).sum();
+        headers.map(|(name, value)| name.as_str().len() + value.len() + HEADER_OVERHEAD).sum();
     head.method.as_str().len()
         + head.uri.path_and_query().map_or(0, |path| path.as_str().len())
         + headers
--- a/crates/gateway/src/pipeline/occupancy.rs
+++ b/crates/gateway/src/pipeline/in_flight.rs
@@ -1,4 +1,4 @@
-//! What a request takes up at a backend server, from the send to the end of its answer.
+//! Accounting of in-flight requests at a backend server, from the send to the end of the response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,66 +10,66 @@
 
 use crate::{clock, gateway::Gateway};
 
-/// A `Footprint` is what a request takes up at a backend server.
+/// A `Footprint` is the resources that a request uses at a backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Footprint {
-    /// Its rank of urgency.
+    /// Its priority, 0 being the most urgent.
     pub rank: u8,
-    /// The prompt tokens that have to be read before its first token.
-    pub to_read: u32,
-    /// The tokens in the engine's memory.
+    /// The prompt tokens that the engine has to prefill.
+    pub prefill_tokens: u32,
+    /// The tokens that it occupies in the engine's KV cache.
     pub held: u32,
-    /// The time until its first token that was expected, at an engine.
+    /// The expected time to the first token, at an engine.
     pub expected: Option<Duration>,
-    /// Whether nothing was there before it, and it is known what has to be read.
+    /// Whether it does not queue behind others and the number of tokens to prefill is known exactly.
     pub unqueued: bool,
 }
 
-/// An `Occupancy` counts a request at a backend server until it is dropped, whichever way the
-/// request ends.
-pub struct Occupancy {
+/// An `InFlightGuard` counts a request as in flight at a backend server until it is dropped, whichever way
+/// the request ends.
+pub struct InFlightGuard {
     gateway: Arc<Gateway>,
     key: WorkerKey,
     footprint: Footprint,
-    began: bool,
+    started: bool,
     since: Stamp,
 }
 
-impl Occupancy {
-    /// Counts a request that is sent now.
-    pub fn begin(gateway: &Arc<Gateway>, key: WorkerKey, footprint: Footprint) -> Occupancy {
+impl InFlightGuard {
+    /// Counts a request that is about to be sent.
+    pub fn begin(gateway: &Arc<Gateway>, key: WorkerKey, footprint: Footprint) -> InFlightGuard {
         gateway.with(|state| {
             let Some(backend) = state.backends.get_mut(key) else { return };
             backend.own.requests += 1;
-            backend.own.waiting[usize::from(footprint.rank)] += footprint.to_read;
+            backend.own.waiting[usize::from(footprint.rank)] += footprint.prefill_tokens;
             backend.own.held += footprint.held;
         });
         let since = clock::now();
-        Occupancy { gateway: Arc::clone(gateway), key, footprint, began: false, since }
+        InFlightGuard { gateway: Arc::clone(gateway), key, footprint, started: false, since }
     }
 
-    /// Notes the first token, or the answer of a plain service.
-    pub fn note_began(&mut self) {
-        if self.began {
+    /// Notes the first token, or the response of a plain service.
+    pub fn note_started(&mut self) {
+        if self.started {
             return;
         }
-        self.began = true;
+        self.started = true;
         let took = clock::now().since(self.since);
-        let Footprint { rank, to_read, expected, unqueued, .. } = self.footprint;
+        let Footprint { rank, prefill_tokens, expected, unqueued, .. } = self.footprint;
         self.gateway.with(|state| {
             let Some(backend) = state.backends.get_mut(self.key) else { return };
-            backend.own.waiting[usize::from(rank)] -= to_read;
+            backend.own.waiting[usize::from(rank)] -= prefill_tokens;
             let Some(expected) = expected else { return };
             backend.note_first_token(expected, took);
             if unqueued {
                 let service = backend.record.service.clone();
-                let sample = FirstTokenSample { prefill_tokens: to_read, took };
+                let sample = FirstTokenSample { prefill_tokens, took };
                 state.observed(&service).engines.note_first_token(sample);
             }
         });
     }
 
-    /// Notes that a stream ended well, whose events came `gap` apart.
+    /// Notes a complete stream whose events arrived `gap` apart.
     pub fn note_stream(&self, gap: Duration, events: u32, expected_tokens: u32) {
         let now = clock::now();
         self.gateway.with(|state| {
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Notes that a plain service has answered.
+    /// Notes the response of a plain service.
     pub fn note_call(&self) {
         let took = clock::now().since(self.since);
         self.gateway.with(|state| {
@@ -91,15 +91,15 @@
     }
 }
 
-impl Drop for Occupancy {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let Footprint { rank, to_read, held, .. } = self.footprint;
+        let Footprint { rank, prefill_tokens, held, .. } = self.footprint;
         self.gateway.with(|state| {
             let Some(backend) = state.backends.get_mut(self.key) else { return };
             backend.own.requests -= 1;
             backend.own.held -= held;
-            if !self.began {
-                backend.own.waiting[usize::from(rank)] -= to_read;
+            if !self.started {
+                backend.own.waiting[usize::from(rank)] -= prefill_tokens;
             }
         });
     }
--- a/crates/gateway/src/ports/directory.rs
+++ b/crates/gateway/src/ports/directory.rs
@@ -1,4 +1,4 @@
-//! The port where callers ask which addresses to use.
+//! The port on which callers look up the addresses of the nodes.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::{clock, gateway::Gateway};
 
-/// A `DirectoryPort` names the addresses of the nodes that serve.
+/// A `DirectoryPort` returns the addresses of the nodes that serve.
 pub struct DirectoryPort {
     gateway: Arc<Gateway>,
 }
@@ -22,7 +22,7 @@
         DirectoryPort { gateway }
     }
 
-    fn answer(&self, req: Request<Incoming>) -> Response<Body> {
+    fn respond(&self, req: Request<Incoming>) -> Response<Body> {
         let (head, _) = req.into_parts();
         let wire = &self.gateway.platform.wire;
         if wire.read_lookup(&head).is_none() {
@@ -32,27 +32,28 @@
         if self.gateway.is_ready() {
             addresses.push(self.gateway.settings.ports.callers);
         }
-        // A caller reads no more than so many. Always the first ones, callers would find the others never.
-        let most = self.gateway.settings.bounds.max_addresses;
-        if most < addresses.len() {
-            addresses = addresses.sample(&mut rand::rng(), most).copied().collect();
+        // A caller reads only a limited number of addresses. They are sampled at random: if they were
+        // always the first ones, callers would never find the others.
+        let max = self.gateway.settings.bounds.max_addresses;
+        if max < addresses.len() {
+            addresses = addresses.sample(&mut rand::rng(), max).copied().collect();
         }
         if addresses.is_empty() {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let keep = self.gateway.settings.bounds.address_ttl;
-        wire.addresses(&addresses, keep.into()).map(full)
+        let ttl = self.gateway.settings.bounds.address_ttl;
+        wire.addresses(&addresses, ttl.into()).map(full)
     }
 }
 
 impl Handler for DirectoryPort {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        Box::pin(async move { self.answer(req) })
+        Box::pin(async move { self.respond(req) })
     }
 }
 
 fn status(status: StatusCode) -> Response<Body> {
-    let mut answer = Response::new(empty());
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(empty());
+    *response.status_mut() = status;
+    response
 }
--- a/crates/gateway/src/ports/readiness.rs
+++ b/crates/gateway/src/ports/readiness.rs
@@ -1,4 +1,4 @@
-//! The port where the platform asks whether the node serves.
+//! The port of the platform's readiness check.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use crate::gateway::Gateway;
 
-/// A `ReadinessPort` answers 200 while the node serves.
+/// A `ReadinessPort` returns the status 200 while the node serves, and 503 otherwise.
 pub struct ReadinessPort {
     gateway: Arc<Gateway>,
 }
@@ -24,10 +24,10 @@
 
 impl Handler for ReadinessPort {
     fn handle(self: Arc<Self>, _req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        let mut answer = Response::new(empty());
+        let mut response = Response::new(empty());
         if !self.gateway.is_ready() {
-            *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+            *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
-        Box::pin(async move { answer })
+        Box::pin(async move { response })
     }
 }
--- a/crates/gateway/tests/whole_events.rs
+++ b/crates/gateway/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Streams cut into whole events, however their bytes arrive.
+//! Splitting of streams into complete events, in whatever pieces their bytes arrive.
 
 use bulrushhall_gateway::pipeline::EventSplitter;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -19,19 +19,19 @@
         let to = (at + random.random_range(1..40)).min(bytes.len());
         if let Some(split) = splitter.push(&bytes[at..to]) {
             whole.extend_from_slice(&split.bytes);
-            last = split.last.or(last);
+            last = split.last_id.or(last);
         }
         at = to;
     }
     (String::from_utf8(whole).expect("text"), last)
 }
 
-// An engine dies anywhere in a stream and another goes on after the last event that passed. Whatever
-// the place and the pieces in which bytes arrive, the caller reads each event once and whole.
+// An engine may fail at any byte of a stream, which another engine resumes after the last forwarded event. Guards
+// against events that the caller gets twice, incompletely or not at all.
 #[rstest]
 #[case("\n")]
 #[case("\r\n")]
-fn any_cut(#[case] end: &str) {
+fn resume_after_any_byte(#[case] end: &str) {
     let events: Vec<String> = (1..=12).map(|number| event(number, end)).collect();
     let stream = events.concat();
     for seed in 0..3_000 {
@@ -39,21 +39,21 @@
         let cut = random.random_range(0..=stream.len());
         let mut first = EventSplitter::default();
         let (mut read, last) = push_all(&mut first, &stream.as_bytes()[..cut], &mut random);
-        // The next engine may repeat events that the first had sent.
+        // The next engine may repeat events that the first one has already sent.
         let from = last.unwrap_or(0).saturating_sub(random.random_range(0..2)) as usize;
         let mut second = EventSplitter::after(last);
         let rest = events[from..].concat();
         read.push_str(&push_all(&mut second, rest.as_bytes(), &mut random).0);
         assert_eq!(read, stream, "seed {seed}, cut at {cut}");
-        assert!(!second.is_within());
+        assert!(!second.has_partial_event());
     }
 }
 
 #[test]
-fn no_end() {
+fn event_without_end() {
     let mut splitter = EventSplitter::default();
     assert_eq!(splitter.push(b"data: a\n"), None);
-    assert!(splitter.is_within() && !splitter.is_overfull());
+    assert!(splitter.has_partial_event() && !splitter.is_event_too_large());
     splitter.push(&vec![b'x'; 2 << 20]);
-    assert!(splitter.is_overfull());
+    assert!(splitter.is_event_too_large());
 }
