--- a/crates/coord/src/attempts.rs
+++ b/crates/coord/src/attempts.rs
@@ -18,19 +18,19 @@
     /// Notes how a try ended.
     pub fn end(&mut self, ran: Ran) {
         self.open = false;
-        self.ended = self.ended.and(ran);
+        self.ended = self.ended.combine(ran);
     }
 
     /// Returns what holds over all tries.
     pub fn ran(&self) -> Ran {
         match self.open {
-            true => self.ended.and(Ran::Unknown),
+            true => self.ended.combine(Ran::Unknown),
             false => self.ended,
         }
     }
 
     /// Returns whether a call that may run at most once may be tried again.
-    pub fn may_try_again(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         self.ran() == Ran::No
     }
 }
--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/duty.rs
@@ -8,7 +8,7 @@
 use bulrushhall_coord::{
     Hold, Holder, Lease, LeaseCall, LeaseOptions, LeaseReply, Purpose, Wanted, lease::is_candidate,
 };
-use bulrushhall_core::{Fence, Incarnation, ZoneName};
+use bulrushhall_core::{FencingNumber, Incarnation, ZoneName};
 use bulrushhall_external::{
     CallError, KeyValue,
     kv::{CasOutcome, LeaseId, Version},
@@ -98,12 +98,14 @@
                 removed.map_or_else(failed, |_| LeaseReply::Done)
             }
             LeaseCall::Claim(lease) => {
-                let own = Holder { life: self.cx.incarnation, lease }.encode();
+                let own = Holder { incarnation: self.cx.incarnation, lease }.encode();
                 let lease = Some(LeaseId(lease));
                 match kv.put_if(&self.key, Version(0), Bytes::from(own), lease).await {
-                    Ok(CasOutcome::Written(version)) => LeaseReply::Claimed(Fence(version.0)),
+                    Ok(CasOutcome::Written(version)) => {
+                        LeaseReply::Claimed(FencingNumber(version.0))
+                    }
                     Ok(CasOutcome::Conflict(found)) => {
-                        LeaseReply::Taken(Fence(found.version.0), holder_of(&found.value))
+                        LeaseReply::Taken(FencingNumber(found.version.0), holder_of(&found.value))
                     }
                     Err(error) => failed(error),
                 }
@@ -152,5 +154,5 @@
 // A value that names nobody is nobody's own: the duty counts as held until the key vanishes.
 fn holder_of(value: &Bytes) -> Holder {
     let held = std::str::from_utf8(value).ok().and_then(Holder::decode);
-    held.unwrap_or(Holder { life: Incarnation(0), lease: 0 })
+    held.unwrap_or(Holder { incarnation: Incarnation(0), lease: 0 })
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,23 +8,24 @@
 
 use arc_swap::ArcSwapOption;
 use bulrushhall_coord::{
-    CatchUp, Freshness, NewsSources, RelayPlan, Role, UsageCounts, Window, usage::correction,
+    CatchUp, Freshness, RelayPlan, Role, UpdateSources, UsageCounts, Window,
+    usage::clock_correction,
 };
 use bulrushhall_core::{Incarnation, Revision, ServiceName, Stamp, TeamName};
 use bulrushhall_external::KeyValue;
 use bulrushhall_policy::{
     quota::{Quota, QuotaSlack},
-    repeat_share::{RepeatLimit, RepeatShare},
+    windowed_retry_budget::{RetryLimit, WindowedRetryBudget},
 };
 use rand::RngExt;
 use tokio::sync::watch;
 
 use crate::{
+    adapter::{Orders, Records, Wire},
     backends::Backends,
-    border::{Orders, Records, Wire},
     clock,
+    cluster::{MemberRecord, Members, RecordsKnown},
     demand::Demand,
-    knowledge::{MemberRecord, Members, RecordsKnown},
     observed::Observed,
     settings::Settings,
     table::RouteTable,
@@ -80,7 +81,7 @@
     /// Whom this node exchanges news with.
     pub relays: RelayPlan,
     /// The relays whose sums are taken in.
-    pub sources: NewsSources,
+    pub sources: UpdateSources,
     /// When another node last took this one for a relay.
     pub relay_asked_at: Option<Stamp>,
     /// The exchanges since the start.
@@ -102,7 +103,7 @@
     /// When the node started, unless the whole system started for the first time.
     pub restarted_at: Option<Stamp>,
     /// The repeats at each service.
-    pub repeats: HashMap<ServiceName, RepeatShare>,
+    pub repeats: HashMap<ServiceName, WindowedRetryBudget>,
     /// The requests begun.
     pub usage: UsageCounts,
     /// The work that engines of each service were sent.
@@ -113,7 +114,7 @@
 
 impl State {
     /// Returns up to where a relay tells this node the records of backend servers; none while none does.
-    pub fn records_fed(&self, now: Stamp) -> Option<RecordsKnown> {
+    pub fn relay_cursor(&self, now: Stamp) -> Option<RecordsKnown> {
         let (known, at) = self.fed_records?;
         (self.relays.role == Role::Member && now.since(at) < FED_FOR).then_some(known)
     }
@@ -137,7 +138,7 @@
     /// Returns the bucket of a team.
     pub fn quota(&mut self, team: &TeamName) -> &mut Quota {
         let restarted_at = self.restarted_at;
-        let bucket = || restarted_at.map_or_else(Quota::default, Quota::drained);
+        let bucket = || restarted_at.map_or_else(Quota::default, Quota::empty);
         self.quotas.entry(team.clone()).or_insert_with(bucket)
     }
 }
@@ -162,7 +163,7 @@
 impl Gateway {
     /// Returns a node that knows nothing yet.
     pub fn new(settings: Settings, platform: Platform) -> Gateway {
-        let day = clock::time_of_day();
+        let day = clock::wall_clock();
         let started = u64::try_from(day.as_millis()).unwrap_or(u64::MAX);
         let incarnation = Incarnation((started << 12) | rand::rng().random_range(0..1 << 12));
         let restarted_at = (!settings.gateway.first_start).then(clock::now);
@@ -223,7 +224,7 @@
 
     // The time of day that most nodes agree on.
     fn day(&self) -> Duration {
-        let ahead = self.with(|state| correction(state.members.days_ahead()));
+        let ahead = self.with(|state| clock_correction(state.members.days_ahead()));
         let shift = Duration::from_millis(ahead.unsigned_abs());
         let own = self.own_day();
         if ahead < 0 { own.saturating_sub(shift) } else { own + shift }
@@ -272,9 +273,9 @@
     }
 
     /// Returns the limit on repeats.
-    pub fn repeat_limit(&self) -> RepeatLimit {
+    pub fn repeat_limit(&self) -> RetryLimit {
         let bounds = &self.settings.bounds;
-        RepeatLimit {
+        RetryLimit {
             ratio: bounds.retry_ratio,
             headroom: bounds.retry_headroom,
             window: bounds.retry_window.into(),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_core::{
     CoreError, NodeName, Result, ZoneName,
-    config::{read_only, read_sections, unknown_sections},
+    config::{read_sections, read_single_section, unknown_sections},
     name::{Name, NameKind},
 };
 use serde::{Deserialize, Serialize};
@@ -120,7 +120,8 @@
     pub address_ttl: humantime::Duration,
     /// The most addresses that a caller is told at once.
     #[serde_as(as = "DisplayFromStr")]
-    pub addresses_most: usize,
+    #[serde(rename = "addresses_most")]
+    pub max_addresses: usize,
 }
 
 impl Settings {
@@ -129,11 +130,11 @@
         let (sections, mut problems) = read_sections(file, text);
         problems.extend(unknown_sections(file, &sections, &SECTION_KINDS));
         let settings = Settings {
-            gateway: read_only(file, &sections, "gateway", &mut problems),
-            ports: read_only(file, &sections, "ports", &mut problems),
-            endpoints: read_only(file, &sections, "endpoints", &mut problems),
-            bounds: read_only(file, &sections, "bounds", &mut problems),
-            fleet: read_only(file, &sections, "fleet", &mut problems),
+            gateway: read_single_section(file, &sections, "gateway", &mut problems),
+            ports: read_single_section(file, &sections, "ports", &mut problems),
+            endpoints: read_single_section(file, &sections, "endpoints", &mut problems),
+            bounds: read_single_section(file, &sections, "bounds", &mut problems),
+            fleet: read_single_section(file, &sections, "fleet", &mut problems),
         };
         problems.extend(settings.fleet.problems(file, &sections));
         if problems.is_empty() {
@@ -144,7 +145,7 @@
     }
 
     /// Returns whether a settings file is one of a node that serves routes.
-    pub fn is_meant(text: &str) -> bool {
+    pub fn is_gateway_file(text: &str) -> bool {
         text.lines().any(|line| line.trim() == "[gateway]")
     }
 }
@@ -196,7 +197,7 @@
             quota_overage: 0.0,
             quota_headroom: 0.0,
             address_ttl: Duration::from_secs(2).into(),
-            addresses_most: 64,
+            max_addresses: 64,
         }
     }
 }
