--- a/crates/bench/src/testbed/machines.rs
+++ b/crates/bench/src/testbed/machines.rs
@@ -153,7 +153,7 @@
 pub async fn follow(machines: Arc<Machines>, mut events: mpsc::UnboundedReceiver<MachineEvent>) {
     while let Some(event) = events.recv().await {
         match event {
-            MachineEvent::Gone(vm) => machines.kill(&vm),
+            MachineEvent::Removed(vm) => machines.kill(&vm),
             MachineEvent::Start(vm, purchase) => {
                 let machines = Arc::clone(&machines);
                 tokio::spawn(async move { machines.boot(vm, purchase).await });
--- a/crates/bench/src/testbed/mod.rs
+++ b/crates/bench/src/testbed/mod.rs
@@ -251,7 +251,7 @@
     }
 
     fn adopt(&self, vm: &VmName, zone: &ZoneName, price: u64) {
-        self.cloud.adopt(vm.clone(), zone.clone(), Market::Reclaimable, price);
+        self.cloud.register(vm.clone(), zone.clone(), Market::Reclaimable, price);
     }
 
     async fn wait_for_config(&self) -> Result<(), TestbedError> {
--- a/crates/cli/src/demo/outcome.rs
+++ b/crates/cli/src/demo/outcome.rs
@@ -56,7 +56,7 @@
             computed_tokens: engines.computed_tokens,
             recomputed_tokens: engines.recomputed_tokens,
             moved_bytes: engines.exported_bytes,
-            orders_run_more_than_once: testbed.ledger.doubled(),
+            orders_run_more_than_once: testbed.ledger.duplicated_keys(),
             key_value_calls: kv.reads + kv.writes + kv.leases + kv.watches,
             broken_promises: broken.collect(),
             classes: report.summaries,
--- a/crates/cli/src/demo/serve.rs
+++ b/crates/cli/src/demo/serve.rs
@@ -7,7 +7,7 @@
 };
 
 use bulrushhall_bench::{Testbed, testbed::ControlPort};
-use bulrushhall_standin::running::Running;
+use bulrushhall_standin::running_server::RunningServer;
 use serde_json::json;
 
 use crate::demo::{error::DemoError, options::DemoOptions};
@@ -15,7 +15,7 @@
 /// Starts the deployment, tells its addresses in one line and stays until SIGINT.
 pub async fn serve(options: &DemoOptions) -> Result<(), DemoError> {
     let testbed = Arc::new(Testbed::start(options.testbed()).await?);
-    let control = Running::start(Arc::new(ControlPort::new(Arc::clone(&testbed)))).await?;
+    let control = RunningServer::start(Arc::new(ControlPort::new(Arc::clone(&testbed)))).await?;
     announce(&testbed, &control)?;
 
     let stay = options.length.unwrap_or(Duration::MAX);
@@ -29,7 +29,7 @@
     Ok(())
 }
 
-fn announce(testbed: &Testbed, control: &Running) -> io::Result<()> {
+fn announce(testbed: &Testbed, control: &RunningServer) -> io::Result<()> {
     let nodes = testbed.machines.nodes();
     let operators: Vec<_> = nodes.iter().map(|node| node.operators()).collect();
     let ready = json!({
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -90,7 +90,7 @@
         let answers = orders.join_all().await;
         assert!(answers.iter().all(Result::is_ok), "{answers:?}");
     }
-    assert_eq!((testbed.ledger.doubled(), testbed.ledger.counts().runs.len()), (0, 10));
+    assert_eq!((testbed.ledger.duplicated_keys(), testbed.ledger.counts().runs.len()), (0, 10));
 }
 
 // The key-value service takes writes and loses the replies; some take effect much later. A node
@@ -117,7 +117,7 @@
             Err(_) => {}
         }
     }
-    assert_eq!(testbed.ledger.doubled(), 0);
+    assert_eq!(testbed.ledger.duplicated_keys(), 0);
 }
 
 // The key-value service is down. Orders with a ticket still run; an order with a key of the
--- a/crates/daemon/tests/silent_connections.rs
+++ b/crates/daemon/tests/silent_connections.rs
@@ -85,7 +85,7 @@
     let engine = HttpEngine::new(endpoint, PROGRESS);
     let mut frames = engine.generate(generate(1)).await.expect("frames");
     assert!(matches!(frames.next().await, Some(Ok(Frame::Token(_)))));
-    link.forget();
+    link.blackhole_connections();
     let mut last = None;
     while let Some(frame) = frames.next().await {
         last = Some(frame);
@@ -111,7 +111,7 @@
     let endpoint = Endpoint::new(link.address(), options(Some(vm("vm-1"))));
     let service = HttpService::new(endpoint, PROGRESS);
     service.call(order("k-1")).await.expect("an answer");
-    link.forget();
+    link.blackhole_connections();
     let called = service.call(order("k-2")).await;
     if 1 < link.opened() {
         return ConnectionUsed::Another;
@@ -136,7 +136,7 @@
     let link = Link::start(server.address()).await.expect("a link");
     let key_value = HttpKeyValue::new(Endpoint::new(link.address(), options(None)));
     key_value.get("a").await.expect("an answer");
-    link.forget();
+    link.blackhole_connections();
     let called = key_value.get("a").await;
     if 1 < link.opened() {
         return ConnectionUsed::Another;
--- a/crates/standin/src/pace.rs
+++ b/crates/standin/src/bandwidth.rs
@@ -4,16 +4,16 @@
 
 use tokio::time::{Instant, sleep_until};
 
-/// A `Pace` lets bytes pass at a rate, in the order in which they come.
-pub struct Pace {
+/// A `BandwidthLimit` lets bytes pass at a rate, in the order in which they come.
+pub struct BandwidthLimit {
     bytes_per_second: f64,
     free_at: Mutex<Instant>,
 }
 
-impl Pace {
-    /// Returns a pace of so many bytes a second.
-    pub fn new(bytes_per_second: f64) -> Pace {
-        Pace { bytes_per_second, free_at: Mutex::new(Instant::now()) }
+impl BandwidthLimit {
+    /// Returns a bandwidth of so many bytes a second.
+    pub fn new(bytes_per_second: f64) -> BandwidthLimit {
+        BandwidthLimit { bytes_per_second, free_at: Mutex::new(Instant::now()) }
     }
 
     /// Waits until `count` bytes have passed.
--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -17,7 +17,7 @@
 use hyper::{Request, Response, StatusCode, body::Incoming};
 use tokio::{sync::mpsc, time::Instant};
 
-use crate::{reply, running::Running, switches::Switches};
+use crate::{reply, running_server::RunningServer, switches::Switches};
 
 /// A `MachineEvent` tells whoever runs the VMs what the cloud has decided.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,13 +25,13 @@
     /// A VM was bought and is to be started.
     Start(VmName, Purchase),
     /// A VM is gone: released, or taken back.
-    Gone(VmName),
+    Removed(VmName),
 }
 
 /// A `CloudServer` is a stand-in cloud API on a loopback port.
 pub struct CloudServer {
     shared: Arc<Shared>,
-    running: Running,
+    running: RunningServer,
 }
 
 struct Shared {
@@ -73,7 +73,7 @@
         };
         let state = Mutex::new(state);
         let shared = Arc::new(Shared { state, events, switches: Switches::new(2) });
-        let running = Running::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
+        let running = RunningServer::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
         Ok((CloudServer { shared, running }, decided))
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Notes a VM that runs from the start on.
-    pub fn adopt(&self, vm: VmName, zone: ZoneName, market: Market, price: u64) {
+    pub fn register(&self, vm: VmName, zone: ZoneName, market: Market, price: u64) {
         let machine = Machine { zone, market, price, since: Instant::now(), reclaimed_at: None };
         self.shared.lock().vms.insert(vm, machine);
     }
@@ -164,7 +164,7 @@
         let mut state = self.lock();
         let Some(machine) = state.vms.remove(vm) else { return false };
         state.spent_micros += machine.cost_micros();
-        let _ = self.events.send(MachineEvent::Gone(vm.clone()));
+        let _ = self.events.send(MachineEvent::Removed(vm.clone()));
         true
     }
 
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -27,7 +27,7 @@
 use crate::{
     engine::{EngineModel, EngineOptions, Output},
     reply,
-    running::Running,
+    running_server::RunningServer,
     switches::Switches,
 };
 
@@ -49,7 +49,7 @@
 /// An `EngineServer` is a stand-in engine on a loopback port.
 pub struct EngineServer {
     shared: Arc<Shared>,
-    running: Running,
+    running: RunningServer,
     driver: JoinHandle<()>,
 }
 
@@ -117,7 +117,8 @@
             wake: Notify::new(),
             switches: Switches::new(seed),
         });
-        let running = Running::start_at(address, Arc::clone(&shared) as Arc<dyn Handler>).await?;
+        let running =
+            RunningServer::start_at(address, Arc::clone(&shared) as Arc<dyn Handler>).await?;
         let driver = tokio::spawn(drive(Arc::clone(&shared)));
         Ok(EngineServer { shared, running, driver })
     }
--- a/crates/standin/src/kv/server.rs
+++ b/crates/standin/src/kv/server.rs
@@ -20,7 +20,7 @@
 use crate::{
     kv::{CallCounts, Store},
     reply,
-    running::Running,
+    running_server::RunningServer,
     switches::{Faults, Switches},
 };
 
@@ -41,7 +41,7 @@
 /// A `KvServer` is a stand-in key-value service on a loopback port.
 pub struct KvServer {
     shared: Arc<Shared>,
-    running: Running,
+    running: RunningServer,
 }
 
 struct Shared {
@@ -78,7 +78,7 @@
             changed: watch::Sender::new(0),
             switches,
         });
-        let running = Running::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
+        let running = RunningServer::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
         Ok(KvServer { shared, running })
     }
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,12 +1,12 @@
 //! Small stand-ins for the platform and the backend servers, over HTTP, with fault switches.
 
+pub mod bandwidth;
 pub mod cloud;
 pub mod engine;
 pub mod kv;
 pub mod link;
-pub mod pace;
 pub mod reply;
-pub mod running;
+pub mod running_server;
 pub mod service;
 pub mod switches;
 pub mod vm_list;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -13,7 +13,7 @@
     time::sleep,
 };
 
-use crate::pace::Pace;
+use crate::bandwidth::BandwidthLimit;
 
 /// The bytes that are passed on at once.
 const CHUNK: usize = 16 * 1024;
@@ -45,15 +45,18 @@
     }
 
     /// Starts a stretch of network over which what `target` sends shares a rate with other links.
-    pub async fn start_paced(target: SocketAddr, pace: Arc<Pace>) -> io::Result<Link> {
-        Link::open(target, Some(pace)).await
+    pub async fn start_limited(
+        target: SocketAddr,
+        bandwidth: Arc<BandwidthLimit>,
+    ) -> io::Result<Link> {
+        Link::open(target, Some(bandwidth)).await
     }
 
-    async fn open(target: SocketAddr, pace: Option<Arc<Pace>>) -> io::Result<Link> {
+    async fn open(target: SocketAddr, bandwidth: Option<Arc<BandwidthLimit>>) -> io::Result<Link> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let state = Arc::new(watch::Sender::new(LinkState::default()));
-        let task = tokio::spawn(accept(listener, target, pace, Arc::clone(&state)));
+        let task = tokio::spawn(accept(listener, target, bandwidth, Arc::clone(&state)));
         Ok(Link { address, state, task })
     }
 
@@ -73,12 +76,12 @@
     }
 
     /// Refuses new connections, or takes them again.
-    pub fn set_cut(&self, cut: bool) {
+    pub fn set_refusing(&self, cut: bool) {
         self.state.send_modify(|state| state.cut = cut);
     }
 
     /// Lets all open connections go silent for good; new ones work.
-    pub fn forget(&self) {
+    pub fn blackhole_connections(&self) {
         self.state.send_modify(|state| state.forgotten += 1);
     }
 }
@@ -92,7 +95,7 @@
 async fn accept(
     listener: TcpListener,
     target: SocketAddr,
-    pace: Option<Arc<Pace>>,
+    bandwidth: Option<Arc<BandwidthLimit>>,
     state: Arc<watch::Sender<LinkState>>,
 ) {
     loop {
@@ -108,14 +111,14 @@
         state.send_modify(|state| state.opened += 1);
         let born = state.borrow().forgotten;
         tokio::spawn(pass(near_in, far_out, None, state.subscribe(), born));
-        tokio::spawn(pass(far_in, near_out, pace.clone(), state.subscribe(), born));
+        tokio::spawn(pass(far_in, near_out, bandwidth.clone(), state.subscribe(), born));
     }
 }
 
 async fn pass(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    pace: Option<Arc<Pace>>,
+    bandwidth: Option<Arc<BandwidthLimit>>,
     mut state: watch::Receiver<LinkState>,
     born: u64,
 ) {
@@ -141,8 +144,8 @@
         if !delay.is_zero() {
             sleep(delay).await;
         }
-        if let Some(pace) = &pace {
-            pace.pass(count).await;
+        if let Some(bandwidth) = &bandwidth {
+            bandwidth.pass(count).await;
         }
         if to.write_all(&buf[..count]).await.is_err() {
             return;
--- a/crates/standin/src/running.rs
+++ b/crates/standin/src/running_server.rs
@@ -5,26 +5,29 @@
 use bulrushhall_external::http::{Handler, ServerOptions, listen, serve};
 use tokio::{sync::watch, task::JoinHandle};
 
-/// A `Running` is a server that runs until it is killed or dropped.
-pub struct Running {
+/// A `RunningServer` is a server that runs until it is killed or dropped.
+pub struct RunningServer {
     address: SocketAddr,
     task: JoinHandle<()>,
     _stop: watch::Sender<bool>,
 }
 
-impl Running {
+impl RunningServer {
     /// Starts a server for `handler` on a free loopback port.
-    pub async fn start(handler: Arc<dyn Handler>) -> io::Result<Running> {
-        Running::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), handler).await
+    pub async fn start(handler: Arc<dyn Handler>) -> io::Result<RunningServer> {
+        RunningServer::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), handler).await
     }
 
     /// Starts a server for `handler` on `address`.
-    pub async fn start_at(address: SocketAddr, handler: Arc<dyn Handler>) -> io::Result<Running> {
+    pub async fn start_at(
+        address: SocketAddr,
+        handler: Arc<dyn Handler>,
+    ) -> io::Result<RunningServer> {
         let listener = listen(address)?;
         let address = listener.local_addr()?;
         let (stop, stopped) = watch::channel(false);
         let task = tokio::spawn(serve(listener, handler, ServerOptions::default(), stopped));
-        Ok(Running { address, task, _stop: stop })
+        Ok(RunningServer { address, task, _stop: stop })
     }
 
     /// Returns the address that the server listens on.
@@ -38,7 +41,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningServer {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -17,7 +17,7 @@
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use serde::{Deserialize, Serialize};
 
-use crate::{reply, running::Running, switches::Switches};
+use crate::{reply, running_server::RunningServer, switches::Switches};
 
 /// The header that carries a caller's idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
@@ -38,7 +38,7 @@
 /// A `ServiceServer` is one backend server of a plain service on a loopback port.
 pub struct ServiceServer {
     shared: Arc<Shared>,
-    running: Running,
+    running: RunningServer,
 }
 
 /// `ServiceOptions` set how a stand-in service behaves.
@@ -71,7 +71,7 @@
     }
 
     /// Returns how many keys were executed more than once.
-    pub fn doubled(&self) -> usize {
+    pub fn duplicated_keys(&self) -> usize {
         self.lock().values().filter(|runs| 1 < **runs).count()
     }
 
@@ -97,7 +97,7 @@
         let seed = xxhash_rust::xxh3::xxh3_64(vm.as_str().as_bytes());
         let switches = Switches::new(seed);
         let shared = Arc::new(Shared { vm, options, ledger, fence: Mutex::default(), switches });
-        let running = Running::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
+        let running = RunningServer::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
         Ok(ServiceServer { shared, running })
     }
 
--- a/crates/standin/src/vm_list.rs
+++ b/crates/standin/src/vm_list.rs
@@ -16,12 +16,12 @@
 use hyper::{Request, Response, StatusCode, body::Incoming};
 use tokio::time::Instant;
 
-use crate::{reply, running::Running, switches::Switches};
+use crate::{reply, running_server::RunningServer, switches::Switches};
 
 /// A `VmListServer` is a list of VMs whose answers lag behind what it was told.
 pub struct VmListServer {
     shared: Arc<Shared>,
-    running: Running,
+    running: RunningServer,
 }
 
 struct Shared {
@@ -40,7 +40,7 @@
     pub async fn start(lag: Duration) -> io::Result<VmListServer> {
         let shared =
             Arc::new(Shared { lag, changes: Mutex::default(), switches: Switches::new(3) });
-        let running = Running::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
+        let running = RunningServer::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
         Ok(VmListServer { shared, running })
     }
 
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -15,12 +15,12 @@
 use hyper::{Request, Response, StatusCode, body::Incoming};
 use tokio::time::Instant;
 
-use crate::{reply, running::Running, switches::Switches};
+use crate::{reply, running_server::RunningServer, switches::Switches};
 
 /// A `WeightServer` is a weight store with a rate limit.
 pub struct WeightServer {
     shared: Arc<Shared>,
-    running: Running,
+    running: RunningServer,
 }
 
 struct Shared {
@@ -34,7 +34,7 @@
     pub async fn start(load: Duration) -> io::Result<WeightServer> {
         let free_at = Mutex::new(Instant::now());
         let shared = Arc::new(Shared { load, free_at, switches: Switches::new(4) });
-        let running = Running::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
+        let running = RunningServer::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
         Ok(WeightServer { shared, running })
     }
 
--- a/crates/standin/tests/kv_faults.rs
+++ b/crates/standin/tests/kv_faults.rs
@@ -10,9 +10,9 @@
     kv::{CasOutcome, MAX_VALUE_BYTES, Version},
 };
 use bulrushhall_standin::{
+    bandwidth::BandwidthLimit,
     kv::{KvOptions, KvServer},
     link::Link,
-    pace::Pace,
     switches::Faults,
 };
 use tokio::time::{Instant, sleep};
@@ -131,8 +131,8 @@
     let (server, near) = start().await;
     let value = vec![b'x'; MAX_VALUE_BYTES];
     near.put_if("large", Version(0), value.into(), None).await.expect("an outcome");
-    let pace = Arc::new(Pace::new(MAX_VALUE_BYTES as f64 / 6.0));
-    let link = Link::start_paced(server.address(), pace).await.expect("a link");
+    let bandwidth = Arc::new(BandwidthLimit::new(MAX_VALUE_BYTES as f64 / 6.0));
+    let link = Link::start_limited(server.address(), bandwidth).await.expect("a link");
     let far = HttpKeyValue::new(Endpoint::new(link.address(), EndpointOptions::default()));
     assert_eq!(far.get("large").await.expect("a value").value.len(), MAX_VALUE_BYTES);
 }
