--- a/crates/facade/tests/settings_structs.rs
+++ b/crates/facade/tests/settings_structs.rs
@@ -1,4 +1,4 @@
-//! A deployment is described in Rust by settings structs and written as INI.
+//! A deployment that is built from settings structs renders as INI and parses back unchanged.
 
 use bulrushhall::{
     core::name::{Name, NameKind},
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn rendered() {
+fn renders_and_parses_back() {
     let mut deployment = Deployment::default();
     deployment.services.insert(name("pattern-desk"), ServiceConfig::default());
     let cfg = ModelConfig { service: name("pattern-desk"), ..ModelConfig::default() };
--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the cloud API: prices, purchases, refusals and reclaim notices.
+//! A simulated cloud API with prices, purchases, refusals and reclaim notices.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,16 +19,16 @@
 
 use crate::{reply, running_server::RunningServer, switches::Switches};
 
-/// A `MachineEvent` tells whoever runs the VMs what the cloud has decided.
+/// A `MachineEvent` reports a started or removed VM to the code that runs the VMs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MachineEvent {
-    /// A VM was bought and is to be started.
+    /// A VM was purchased and must be started.
     Start(VmName, Purchase),
-    /// A VM is gone: released, or taken back.
+    /// A VM was removed, because it was released or reclaimed.
     Removed(VmName),
 }
 
-/// A `CloudServer` is a stand-in cloud API on a loopback port.
+/// A `CloudServer` is a simulated cloud API on a loopback port.
 pub struct CloudServer {
     shared: Arc<Shared>,
     running: RunningServer,
@@ -44,40 +44,40 @@
     offers: Vec<Offer>,
     refused: BTreeSet<(ZoneName, Market)>,
     vms: BTreeMap<VmName, Machine>,
-    tokens: BTreeMap<String, VmName>,
+    vms_by_token: BTreeMap<String, VmName>,
     spent_micros: u128,
-    next: u64,
+    last_vm_number: u64,
 }
 
 struct Machine {
     zone: ZoneName,
     market: Market,
     price: u64,
-    since: Instant,
+    started_at: Instant,
     reclaimed_at: Option<Instant>,
 }
 
 impl CloudServer {
-    /// Starts the cloud API on a free loopback port; what it decides comes out of the receiver.
+    /// Starts the cloud API on a free loopback port; the receiver yields its VM events.
     pub async fn start(
         offers: Vec<Offer>,
     ) -> io::Result<(CloudServer, mpsc::UnboundedReceiver<MachineEvent>)> {
-        let (events, decided) = mpsc::unbounded_channel();
+        let (events, receiver) = mpsc::unbounded_channel();
         let state = State {
             offers,
             refused: BTreeSet::new(),
             vms: BTreeMap::new(),
-            tokens: BTreeMap::new(),
+            vms_by_token: BTreeMap::new(),
             spent_micros: 0,
-            next: 0,
+            last_vm_number: 0,
         };
         let state = Mutex::new(state);
         let shared = Arc::new(Shared { state, events, switches: Switches::new(2) });
         let running = RunningServer::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
-        Ok((CloudServer { shared, running }, decided))
+        Ok((CloudServer { shared, running }, receiver))
     }
 
-    /// Returns the address that the cloud API is found at.
+    /// Returns the address that the cloud API listens on.
     pub fn address(&self) -> SocketAddr {
         self.running.address()
     }
@@ -87,59 +87,60 @@
         &self.shared.switches
     }
 
-    /// Notes a VM that runs from the start on.
+    /// Registers a VM that already runs without having been purchased.
     pub fn register(&self, vm: VmName, zone: ZoneName, market: Market, price: u64) {
-        let machine = Machine { zone, market, price, since: Instant::now(), reclaimed_at: None };
+        let machine =
+            Machine { zone, market, price, started_at: Instant::now(), reclaimed_at: None };
         self.shared.lock().vms.insert(vm, machine);
     }
 
-    /// Refuses purchases in a zone and market, or takes them again.
+    /// Sets the zones and markets in which purchases are refused.
     pub fn set_refusals(&self, refused: BTreeSet<(ZoneName, Market)>) {
         self.shared.lock().refused = refused;
     }
 
-    /// Sets what can be bought at which price.
+    /// Sets the offers and their prices.
     pub fn set_offers(&self, offers: Vec<Offer>) {
         self.shared.lock().offers = offers;
     }
 
-    /// Announces that a VM is taken back after `notice`; it is gone by then.
+    /// Announces that a VM is reclaimed; it is removed after `notice`.
     pub fn reclaim(&self, vm: &VmName, notice: Duration) {
         self.shared.reclaim(vm, notice);
     }
 
-    /// Announces that all reclaimable VMs of a zone are taken back; returns their names.
+    /// Announces that all reclaimable VMs of a zone are reclaimed; returns their names.
     pub fn reclaim_zone(&self, zone: &ZoneName, notice: Duration) -> Vec<VmName> {
         let state = self.shared.lock();
-        let hit = state
+        let affected = state
             .vms
             .iter()
             .filter(|(_, machine)| machine.zone == *zone && machine.market == Market::Reclaimable);
-        let hit: Vec<VmName> = hit.map(|(vm, _)| vm.clone()).collect();
+        let affected: Vec<VmName> = affected.map(|(vm, _)| vm.clone()).collect();
         drop(state);
-        for vm in &hit {
+        for vm in &affected {
             self.shared.reclaim(vm, notice);
         }
-        hit
+        affected
     }
 
-    /// Returns the VMs that run.
+    /// Returns the running VMs.
     pub fn running_vms(&self) -> Vec<VmName> {
         self.shared.lock().vms.keys().cloned().collect()
     }
 
-    /// Returns what all VMs have cost so far, in thousandths of a cent.
+    /// Returns the cost of all VMs so far, in thousandths of a cent.
     pub fn spent(&self) -> f64 {
         let state = self.shared.lock();
-        let running = state.vms.values().map(Machine::cost_micros).sum::<u128>();
-        (state.spent_micros + running) as f64 / 1e6
+        let running_cost = state.vms.values().map(Machine::cost_micros).sum::<u128>();
+        (state.spent_micros + running_cost) as f64 / 1e6
     }
 }
 
 impl Machine {
-    // Costs are kept in millionths of a thousandth of a cent, so that seconds add up exactly.
+    // Returns the cost in millionths of a thousandth of a cent, an integer, so that sums are exact.
     fn cost_micros(&self) -> u128 {
-        u128::from(self.price) * self.since.elapsed().as_micros() / 3_600
+        u128::from(self.price) * self.started_at.elapsed().as_micros() / 3_600
     }
 }
 
@@ -156,11 +157,11 @@
         let (shared, vm) = (Arc::clone(self), vm.clone());
         tokio::spawn(async move {
             tokio::time::sleep_until(at).await;
-            shared.end(&vm);
+            shared.remove_vm(&vm);
         });
     }
 
-    fn end(&self, vm: &VmName) -> bool {
+    fn remove_vm(&self, vm: &VmName) -> bool {
         let mut state = self.lock();
         let Some(machine) = state.vms.remove(vm) else { return false };
         state.spent_micros += machine.cost_micros();
@@ -170,7 +171,7 @@
 
     fn buy(&self, purchase: Purchase) -> Response<Body> {
         let mut state = self.lock();
-        if let Some(vm) = state.tokens.get(&purchase.token) {
+        if let Some(vm) = state.vms_by_token.get(&purchase.token) {
             return reply::json(vm);
         }
         let offer = state.offers.iter().find(|offer| {
@@ -184,19 +185,19 @@
         if state.refused.contains(&(purchase.zone.clone(), purchase.market)) {
             return reply::status(StatusCode::CONFLICT);
         }
-        state.next += 1;
-        let Ok(vm) = VmName::new(format!("vm-{}-{}", purchase.zone, state.next)) else {
+        state.last_vm_number += 1;
+        let Ok(vm) = VmName::new(format!("vm-{}-{}", purchase.zone, state.last_vm_number)) else {
             return reply::status(StatusCode::BAD_REQUEST);
         };
         let machine = Machine {
             zone: purchase.zone.clone(),
             market: purchase.market,
             price,
-            since: Instant::now(),
+            started_at: Instant::now(),
             reclaimed_at: None,
         };
         state.vms.insert(vm.clone(), machine);
-        state.tokens.insert(purchase.token.clone(), vm.clone());
+        state.vms_by_token.insert(purchase.token.clone(), vm.clone());
         let _ = self.events.send(MachineEvent::Start(vm.clone(), purchase));
         reply::json(&vm)
     }
@@ -206,22 +207,22 @@
         let mut notices = Vec::new();
         for (vm, machine) in &state.vms {
             let Some(at) = machine.reclaimed_at else { continue };
-            let left = at.saturating_duration_since(Instant::now()).as_millis();
-            let left_ms = u64::try_from(left).unwrap_or(u64::MAX);
+            let remaining = at.saturating_duration_since(Instant::now()).as_millis();
+            let left_ms = u64::try_from(remaining).unwrap_or(u64::MAX);
             notices.push(Notice { vm: vm.clone(), left_ms });
         }
         notices
     }
 
-    async fn answer(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
-        if self.switches.enter().await.outage {
+    async fn respond(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
+        if self.switches.delay_call().await.outage {
             return reply::status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let path = req.uri().path().to_owned();
         let Ok(body) = reply::read(req.into_body()).await else {
             return reply::status(StatusCode::BAD_REQUEST);
         };
-        let answer = match path.as_str() {
+        let response = match path.as_str() {
             "/offers" => reply::json(&self.lock().offers),
             "/notices" => reply::json(&self.notices()),
             "/buy" => match serde_json::from_slice(&body) {
@@ -229,21 +230,21 @@
                 Err(_) => reply::status(StatusCode::BAD_REQUEST),
             },
             "/release" => match serde_json::from_slice(&body) {
-                Ok(vm) if self.end(&vm) => reply::json(&()),
+                Ok(vm) if self.remove_vm(&vm) => reply::json(&()),
                 Ok(_) => reply::status(StatusCode::NOT_FOUND),
                 Err(_) => reply::status(StatusCode::BAD_REQUEST),
             },
             _ => reply::status(StatusCode::NOT_FOUND),
         };
-        if self.switches.loses_reply() {
+        if self.switches.should_lose_reply() {
             return reply::status(StatusCode::GATEWAY_TIMEOUT);
         }
-        answer
+        response
     }
 }
 
 impl Handler for Shared {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        Box::pin(self.answer(req))
+        Box::pin(self.respond(req))
     }
 }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,63 +1,63 @@
-//! The prefix cache of a stand-in engine: blocks of tokens, the least recently used go first.
+//! The prefix cache of a simulated engine; the least recently used blocks are evicted first.
 
 use std::collections::{BTreeMap, HashMap};
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The tokens of one block.
+/// The number of tokens of one block.
 pub const BLOCK_TOKENS: usize = 16;
 
-/// A `PrefixCache` holds hashes of blocks; a block's hash covers all tokens before it too.
+/// A `PrefixCache` is a set of block hashes; the hash of a block also covers all tokens before it.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     capacity: usize,
-    used: HashMap<u64, u64>,
-    order: BTreeMap<u64, u64>,
-    clock: u64,
+    last_use: HashMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
+    use_count: u64,
     changes: Vec<(u64, bool)>,
 }
 
 impl PrefixCache {
-    /// Returns an empty cache for `tokens` tokens.
+    /// Returns an empty cache with a capacity of `tokens` tokens.
     pub fn new(tokens: u32) -> PrefixCache {
         let capacity = usize::try_from(tokens).unwrap_or(usize::MAX) / BLOCK_TOKENS;
         PrefixCache { capacity, ..PrefixCache::default() }
     }
 
-    /// Returns how many of the leading `blocks` are held.
-    pub fn leading(&self, blocks: &[u64]) -> usize {
-        blocks.iter().take_while(|block| self.used.contains_key(block)).count()
+    /// Returns how many consecutive blocks from the first one on are cached.
+    pub fn cached_prefix_len(&self, blocks: &[u64]) -> usize {
+        blocks.iter().take_while(|block| self.last_use.contains_key(block)).count()
     }
 
-    /// Takes the blocks in, as used just now, and drops the least recently used beyond capacity.
-    pub fn hold(&mut self, blocks: &[u64]) {
+    /// Adds the blocks as the most recently used, and evicts the least recently used over capacity.
+    pub fn insert(&mut self, blocks: &[u64]) {
         for &block in blocks {
-            self.clock += 1;
-            match self.used.insert(block, self.clock) {
-                Some(before) => drop(self.order.remove(&before)),
+            self.use_count += 1;
+            match self.last_use.insert(block, self.use_count) {
+                Some(previous) => drop(self.by_last_use.remove(&previous)),
                 None => self.changes.push((block, true)),
             }
-            self.order.insert(self.clock, block);
+            self.by_last_use.insert(self.use_count, block);
         }
-        while self.capacity < self.used.len() {
-            let Some((_, block)) = self.order.pop_first() else { break };
-            self.used.remove(&block);
+        while self.capacity < self.last_use.len() {
+            let Some((_, block)) = self.by_last_use.pop_first() else { break };
+            self.last_use.remove(&block);
             self.changes.push((block, false));
         }
     }
 
-    /// Returns the number of tokens held.
+    /// Returns the number of cached tokens.
     pub fn tokens(&self) -> u32 {
-        u32::try_from(self.used.len() * BLOCK_TOKENS).unwrap_or(u32::MAX)
+        u32::try_from(self.last_use.len() * BLOCK_TOKENS).unwrap_or(u32::MAX)
     }
 
-    /// Takes out the changes since the last call: each a block and whether it is held now.
+    /// Returns the changes since the last call: each a block and whether it was added.
     pub fn take_changes(&mut self) -> Vec<(u64, bool)> {
         std::mem::take(&mut self.changes)
     }
 }
 
-/// Returns the hashes of the full blocks of a row of tokens.
+/// Returns the hashes of the full blocks of a sequence of tokens.
 pub fn block_hashes<'a>(tokens: impl Iterator<Item = &'a str>) -> Vec<u64> {
     let mut hashes = Vec::new();
     let mut hash = 0;
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a model engine.
+//! A simulated model engine.
 
 mod cache;
 mod model;
@@ -10,4 +10,4 @@
 pub use model::{EngineModel, Output};
 pub use options::EngineOptions;
 pub use server::{EngineCounts, EngineServer};
-pub use text::{Writer, expected_answer, words};
+pub use text::{TokenGenerator, expected_answer, words};
--- a/crates/standin/src/engine/options.rs
+++ b/crates/standin/src/engine/options.rs
@@ -1,39 +1,39 @@
-//! What a stand-in engine costs in time and memory.
+//! The cost model of a simulated engine.
 
 use std::time::Duration;
 
 use bulrushhall_external::engine::EngineRole;
 
-/// `EngineOptions` are the cost model of a stand-in engine.
+/// `EngineOptions` are the time and memory costs and the behavior of a simulated engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineOptions {
-    /// The tokens of prompts that are computed in a second.
+    /// The number of prompt tokens that are computed per second.
     pub prefill_per_second: u32,
-    /// The most prompt tokens that are computed in one step.
+    /// The maximum number of prompt tokens that are computed in one step.
     pub prefill_chunk: u32,
-    /// The time of a step that computes nothing else.
+    /// The base duration of a step.
     pub step_base: Duration,
-    /// The time that each answer in the batch adds to a step.
+    /// The time that each response in the batch adds to a step.
     pub step_per_answer: Duration,
-    /// The most answers in the batch.
+    /// The maximum number of responses in the batch.
     pub batch: usize,
-    /// The tokens that the prefix cache holds.
+    /// The capacity of the prefix cache, in tokens.
     pub cache_tokens: u32,
-    /// The bytes of KV cache for one token.
+    /// The size of the KV cache of one token, in bytes.
     pub bytes_per_token: u64,
-    /// The bytes of KV cache that can be moved in a second.
+    /// The number of bytes of KV cache that can be exported per second.
     pub move_per_second: u64,
-    /// How far a load report lags behind.
+    /// The delay after which a load becomes visible in reports.
     pub report_lag: Duration,
-    /// How far cache events lag behind.
+    /// The delay after which a cache event becomes visible.
     pub event_lag: Duration,
-    /// The share of cache events that are lost.
+    /// The probability that a cache event is lost.
     pub event_loss: f64,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub checks_fence: bool,
-    /// How much faster than real time the engine runs.
+    /// The factor by which the engine runs faster than real time.
     pub speed: f64,
-    /// The part of the work that the engine does at first.
+    /// The initial role of the engine.
     pub role: EngineRole,
 }
 
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine behind HTTP: the model fed with real or accelerated time.
+//! The HTTP server of a simulated engine, which runs the model in real or accelerated time.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -31,26 +31,26 @@
     switches::Switches,
 };
 
-/// `EngineCounts` tell what an engine has done so far.
+/// `EngineCounts` count what an engine has done so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCounts {
-    /// Requests taken in, attempts counted one by one.
+    /// The accepted requests; each attempt counts.
     pub generates: u64,
-    /// Tokens computed, prompts and answers.
+    /// The computed tokens of prompts and responses.
     pub computed_tokens: u64,
-    /// Tokens computed anew because of a resume.
+    /// The tokens that were recomputed because of a resume.
     pub recomputed_tokens: u64,
-    /// Bytes of KV cache that were moved away.
+    /// The exported bytes of KV cache.
     pub exported_bytes: u64,
-    /// Orders refused for their fencing number.
+    /// The orders that were refused because of an outdated fencing number.
     pub fenced_orders: u64,
 }
 
-/// An `EngineServer` is a stand-in engine on a loopback port.
+/// An `EngineServer` is a simulated engine on a loopback port.
 pub struct EngineServer {
     shared: Arc<Shared>,
     running: RunningServer,
-    driver: JoinHandle<()>,
+    model_task: JoinHandle<()>,
 }
 
 struct Shared {
@@ -64,19 +64,19 @@
 
 struct State {
     model: EngineModel,
-    answers: HashMap<RequestId, (u32, mpsc::UnboundedSender<Frame>)>,
+    streams: HashMap<RequestId, (u32, mpsc::UnboundedSender<Frame>)>,
     counts: EngineCounts,
     reports: VecDeque<(Stamp, EngineLoad)>,
     events: VecDeque<(Stamp, CacheEvent)>,
     next_event: u64,
-    fence: FencingNumber,
+    highest_fence: FencingNumber,
     generation: u64,
-    loaded: ModelName,
+    loaded_model: ModelName,
     versions: HashMap<ModelName, String>,
 }
 
-/// The most cache events that are kept for readers.
-const EVENTS_KEPT: usize = 4_096;
+/// The maximum number of cache events that are kept for readers.
+const MAX_EVENTS: usize = 4_096;
 
 impl EngineServer {
     /// Starts an engine for `model` on a free loopback port.
@@ -98,14 +98,14 @@
     ) -> io::Result<EngineServer> {
         let state = State {
             model: EngineModel::new(options.clone()),
-            answers: HashMap::new(),
+            streams: HashMap::new(),
             counts: EngineCounts::default(),
             reports: VecDeque::new(),
             events: VecDeque::new(),
             next_event: 0,
-            fence: FencingNumber(0),
+            highest_fence: FencingNumber(0),
             generation: 0,
-            loaded: model,
+            loaded_model: model,
             versions: HashMap::new(),
         };
         let seed = xxhash_rust::xxh3::xxh3_64(vm.as_str().as_bytes());
@@ -119,8 +119,8 @@
         });
         let running =
             RunningServer::start_at(address, Arc::clone(&shared) as Arc<dyn Handler>).await?;
-        let driver = tokio::spawn(drive(Arc::clone(&shared)));
-        Ok(EngineServer { shared, running, driver })
+        let model_task = tokio::spawn(run_model(Arc::clone(&shared)));
+        Ok(EngineServer { shared, running, model_task })
     }
 
     /// Returns the address that the engine listens on.
@@ -138,17 +138,17 @@
         &self.shared.switches
     }
 
-    /// Returns what the engine has done so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> EngineCounts {
         let state = self.shared.lock();
         let (computed_tokens, recomputed_tokens) = state.model.totals();
         EngineCounts { computed_tokens, recomputed_tokens, ..state.counts }
     }
 
-    /// Ends the engine and closes its connections, as the VM's death would.
+    /// Stops the engine and closes its connections, as the failure of its VM would.
     pub fn kill(&self) {
         self.running.kill();
-        self.driver.abort();
+        self.model_task.abort();
     }
 }
 
@@ -168,7 +168,7 @@
         Stamp(micros as u64)
     }
 
-    fn real(&self, stamp: Stamp) -> Instant {
+    fn real_time(&self, stamp: Stamp) -> Instant {
         self.started + Duration::from_secs_f64(stamp.0 as f64 / 1e6 / self.options.speed)
     }
 
@@ -177,42 +177,42 @@
         let (tx, rx) = mpsc::unbounded_channel();
         let (request, attempt) = (req.request, req.attempt);
         let mut state = self.lock();
-        if req.model != state.loaded {
+        if req.model != state.loaded_model {
             return reply::status(StatusCode::NOT_FOUND);
         }
         state.counts.generates += 1;
-        state.answers.insert(request, (attempt, tx));
+        state.streams.insert(request, (attempt, tx));
         state.model.submit(now, req);
         drop(state);
         self.wake.notify_one();
 
         let guard = CancelGuard { shared: Arc::clone(self), request, attempt };
-        Response::new(streamed(events(rx, guard)))
+        Response::new(streamed(frame_stream(rx, guard)))
     }
 
     fn cancel(&self, request: RequestId) {
         let mut state = self.lock();
-        state.answers.remove(&request);
+        state.streams.remove(&request);
         state.model.cancel(request);
     }
 
     fn order(&self, order: EngineOrder) -> Response<Body> {
         let mut state = self.lock();
-        if self.options.checks_fence && order.fence < state.fence {
+        if self.options.checks_fence && order.fence < state.highest_fence {
             state.counts.fenced_orders += 1;
             return reply::status(StatusCode::CONFLICT);
         }
-        state.fence = state.fence.max(order.fence);
+        state.highest_fence = state.highest_fence.max(order.fence);
         if order.generation < state.generation && self.options.checks_fence {
             return reply::status(StatusCode::OK);
         }
         state.generation = order.generation;
         state.versions.insert(order.model.clone(), order.version);
-        state.loaded = order.model;
+        state.loaded_model = order.model;
         reply::status(StatusCode::OK)
     }
 
-    fn report(&self) -> EngineLoad {
+    fn delayed_load(&self) -> EngineLoad {
         let now = self.now();
         let mut state = self.lock();
         let current = state.model.load();
@@ -228,23 +228,24 @@
         state.reports.front().map_or(current, |(_, report)| *report)
     }
 
-    fn events_after(&self, after: u64) -> Vec<CacheEvent> {
+    fn events_from(&self, first: u64) -> Vec<CacheEvent> {
         let due = self.now() - self.options.event_lag;
         let state = self.lock();
-        let ready = state.events.iter().filter(|(at, event)| *at <= due && after <= event.sequence);
+        let ready = state.events.iter().filter(|(at, event)| *at <= due && first <= event.sequence);
         ready.map(|(_, event)| *event).collect()
     }
 
-    fn note_cache_changes(&self, state: &mut State, now: Stamp) {
+    fn record_cache_changes(&self, state: &mut State, now: Stamp) {
         for (block, held) in state.model.take_cache_changes() {
             let event = CacheEvent { sequence: state.next_event, block, held };
             state.next_event += 1;
-            let lost = (self.switches.below(1_000) as f64) < self.options.event_loss * 1_000.0;
+            let lost =
+                (self.switches.random_below(1_000) as f64) < self.options.event_loss * 1_000.0;
             if lost {
                 continue;
             }
             state.events.push_back((now, event));
-            if EVENTS_KEPT < state.events.len() {
+            if MAX_EVENTS < state.events.len() {
                 state.events.pop_front();
             }
         }
@@ -260,33 +261,34 @@
         reply::json(&blocks)
     }
 
-    async fn answer(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
+    async fn respond(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
         let path = req.uri().path().to_owned();
         if path == "/identity" {
             return reply::identity(&self.vm);
         }
-        let faults = self.switches.enter().await;
+        let faults = self.switches.delay_call().await;
         if faults.outage {
             return reply::status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let Ok(body) = reply::read(req.into_body()).await else {
             return reply::status(StatusCode::BAD_REQUEST);
         };
-        let (verb, rest) = path.trim_start_matches('/').split_once('/').unwrap_or((&path[1..], ""));
-        match verb {
-            "generate" => parsed(&body, |req| self.generate(req)),
-            "order" => parsed(&body, |order| self.order(order)),
-            "load" => reply::json(&self.report()),
-            "events" => reply::json(&self.events_after(rest.parse().unwrap_or(0))),
-            "import" => parsed(&body, |blocks: Vec<u64>| {
+        let (operation, argument) =
+            path.trim_start_matches('/').split_once('/').unwrap_or((&path[1..], ""));
+        match operation {
+            "generate" => with_json(&body, |req| self.generate(req)),
+            "order" => with_json(&body, |order| self.order(order)),
+            "load" => reply::json(&self.delayed_load()),
+            "events" => reply::json(&self.events_from(argument.parse().unwrap_or(0))),
+            "import" => with_json(&body, |blocks: Vec<u64>| {
                 self.lock().model.import(&blocks);
                 reply::status(StatusCode::OK)
             }),
             "cancel" | "export" => {
-                let Ok(request) = rest.parse() else {
+                let Ok(request) = argument.parse() else {
                     return reply::status(StatusCode::BAD_REQUEST);
                 };
-                if verb == "export" {
+                if operation == "export" {
                     return self.export(request).await;
                 }
                 self.cancel(request);
@@ -299,11 +301,11 @@
 
 impl Handler for Shared {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        Box::pin(self.answer(req))
+        Box::pin(self.respond(req))
     }
 }
 
-/// Cancels the work on a request when its reader has gone.
+/// Cancels a request when the reader of its response disconnects.
 struct CancelGuard {
     shared: Arc<Shared>,
     request: RequestId,
@@ -313,74 +315,74 @@
 impl Drop for CancelGuard {
     fn drop(&mut self) {
         let mut state = self.shared.lock();
-        let current = state.answers.get(&self.request).map(|(attempt, _)| *attempt);
+        let current = state.streams.get(&self.request).map(|(attempt, _)| *attempt);
         if current != Some(self.attempt) {
             return;
         }
-        state.answers.remove(&self.request);
+        state.streams.remove(&self.request);
         state.model.cancel(self.request);
     }
 }
 
-async fn drive(shared: Arc<Shared>) {
+async fn run_model(shared: Arc<Shared>) {
     loop {
         let next = shared.lock().model.next_wake();
         match next {
             None => shared.wake.notified().await,
-            Some(stamp) => sleep_until(shared.real(stamp)).await,
+            Some(stamp) => sleep_until(shared.real_time(stamp)).await,
         }
         let now = shared.now();
         let mut state = shared.lock();
         let outputs = state.model.advance(now);
         for output in outputs {
-            hand_out(&mut state, output);
+            deliver(&mut state, output);
         }
-        shared.note_cache_changes(&mut state, now);
+        shared.record_cache_changes(&mut state, now);
     }
 }
 
-fn hand_out(state: &mut State, output: Output) {
-    let Some((attempt, tx)) = state.answers.get(&output.request) else { return };
+fn deliver(state: &mut State, output: Output) {
+    let Some((attempt, tx)) = state.streams.get(&output.request) else { return };
     if *attempt != output.attempt {
         return;
     }
     let last = matches!(output.frame, Frame::Done(_));
     let _ = tx.send(output.frame);
     if last {
-        state.answers.remove(&output.request);
+        state.streams.remove(&output.request);
     }
 }
 
-fn events(
+fn frame_stream(
     rx: mpsc::UnboundedReceiver<Frame>,
     guard: CancelGuard,
 ) -> impl Stream<Item = Bytes> + Send {
     stream::unfold((rx, guard), |(mut rx, guard)| async move {
-        // Frames that are ready together go out in one chunk.
+        // Frames that are ready at the same time are sent in one chunk.
         let mut chunk = encode(&rx.recv().await?);
         while let Ok(frame) = rx.try_recv() {
             chunk.extend_from_slice(&encode(&frame));
         }
-        // A frozen engine writes nothing more, although its connections stay open.
-        guard.shared.switches.enter().await;
+        // A frozen engine sends no more data, although its connections stay open.
+        guard.shared.switches.delay_call().await;
         Some((Bytes::from(chunk), (rx, guard)))
     })
 }
 
 fn encode(frame: &Frame) -> Vec<u8> {
     let mut chunk = b"data: ".to_vec();
-    // A frame holds only text and numbers, for which serialization cannot fail.
+    // A frame contains only text and numbers, so serialization cannot fail.
     let _ = serde_json::to_writer(&mut chunk, frame);
     chunk.extend_from_slice(b"\n\n");
     chunk
 }
 
-fn parsed<T: DeserializeOwned>(
+fn with_json<T: DeserializeOwned>(
     body: &[u8],
-    act: impl FnOnce(T) -> Response<Body>,
+    handle: impl FnOnce(T) -> Response<Body>,
 ) -> Response<Body> {
     match serde_json::from_slice(body) {
-        Ok(value) => act(value),
+        Ok(value) => handle(value),
         Err(_) => reply::status(StatusCode::BAD_REQUEST),
     }
 }
--- a/crates/standin/src/kv/mod.rs
+++ b/crates/standin/src/kv/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform's key-value service.
+//! A simulated key-value service of the platform.
 
 mod server;
 mod store;
--- a/crates/standin/src/kv/server.rs
+++ b/crates/standin/src/kv/server.rs
@@ -1,4 +1,4 @@
-//! The key-value service behind HTTP, with rate limits and fault switches.
+//! The HTTP server of the key-value service, with rate limits and fault switches.
 
 use std::{
     io,
@@ -24,21 +24,21 @@
     switches::{Faults, Switches},
 };
 
-/// The longest time that a watch waits.
-const WATCH_MAX: Duration = Duration::from_secs(60);
+/// The maximum time that a watch waits.
+const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
 
-/// `KvOptions` are the caps of the key-value service.
+/// `KvOptions` are the rate limits of the key-value service and its random seed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvOptions {
-    /// Writes taken in a second, lease calls included.
+    /// The maximum number of writes per second, including lease calls.
     pub writes_per_second: u64,
-    /// Reads taken in a second, waiting watches included.
+    /// The maximum number of reads per second, including watches.
     pub reads_per_second: u64,
-    /// The seed that decides which replies are lost.
+    /// The seed that determines which replies are lost.
     pub seed: u64,
 }
 
-/// A `KvServer` is a stand-in key-value service on a loopback port.
+/// A `KvServer` is a simulated key-value service on a loopback port.
 pub struct KvServer {
     shared: Arc<Shared>,
     running: RunningServer,
@@ -56,9 +56,9 @@
 struct State {
     store: Store,
     counts: CallCounts,
-    second: u64,
-    writes: u64,
-    reads: u64,
+    current_second: u64,
+    writes_in_second: u64,
+    reads_in_second: u64,
 }
 
 impl Default for KvOptions {
@@ -92,7 +92,7 @@
         &self.shared.switches
     }
 
-    /// Returns the calls counted so far.
+    /// Returns the counts of calls so far.
     pub fn counts(&self) -> CallCounts {
         self.shared.lock().counts
     }
@@ -110,54 +110,54 @@
     fn expire(&self) {
         let now = self.now();
         if self.lock().store.expire(now) {
-            self.notify();
+            self.notify_watches();
         }
     }
 
-    fn notify(&self) {
+    fn notify_watches(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    // Counts a call and tells whether the rate limits let it pass.
-    fn admit(&self, kind: Kind) -> Admission {
+    // Counts a call and returns whether the rate limits allow it.
+    fn admit(&self, kind: CallKind) -> Admission {
         let second = self.started.elapsed().as_secs();
         let mut state = self.lock();
-        if state.second != second {
-            state.second = second;
-            (state.writes, state.reads) = (0, 0);
+        if state.current_second != second {
+            state.current_second = second;
+            (state.writes_in_second, state.reads_in_second) = (0, 0);
         }
         match kind {
-            Kind::Read => state.counts.reads += 1,
-            Kind::Watch => state.counts.watches += 1,
-            Kind::Write => state.counts.writes += 1,
-            Kind::Lease => state.counts.leases += 1,
+            CallKind::Read => state.counts.reads += 1,
+            CallKind::Watch => state.counts.watches += 1,
+            CallKind::Write => state.counts.writes += 1,
+            CallKind::Lease => state.counts.leases += 1,
         }
         let limited = match kind {
-            Kind::Read | Kind::Watch => {
-                state.reads += 1;
-                self.options.reads_per_second < state.reads
+            CallKind::Read | CallKind::Watch => {
+                state.reads_in_second += 1;
+                self.options.reads_per_second < state.reads_in_second
             }
-            Kind::Write | Kind::Lease => {
-                state.writes += 1;
-                self.options.writes_per_second < state.writes
+            CallKind::Write | CallKind::Lease => {
+                state.writes_in_second += 1;
+                self.options.writes_per_second < state.writes_in_second
             }
         };
         if !limited {
-            return Admission::Pass;
+            return Admission::Accepted;
         }
         state.counts.limited += 1;
         Admission::Limited
     }
 
-    async fn answer(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
-        let faults = self.switches.enter().await;
+    async fn respond(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
+        let faults = self.switches.delay_call().await;
         if faults.outage {
             return reply::status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let (parts, body) = req.into_parts();
         let path = parts.uri.path().trim_start_matches('/').to_owned();
-        let (verb, rest) = path.split_once('/').unwrap_or((&path, ""));
-        let Some(kind) = kind_of(verb, &parts.method) else {
+        let (operation, argument) = path.split_once('/').unwrap_or((&path, ""));
+        let Some(kind) = call_kind(operation, &parts.method) else {
             return reply::status(StatusCode::NOT_FOUND);
         };
         if self.admit(kind) == Admission::Limited {
@@ -171,15 +171,17 @@
             return reply::status(StatusCode::PAYLOAD_TOO_LARGE);
         }
         match kind {
-            Kind::Watch => self.watch(rest).await,
-            Kind::Read if verb == "list" => reply::json(&self.lock().store.list(rest)),
-            Kind::Read => versioned(StatusCode::OK, &self.lock().store.get(rest)),
-            Kind::Lease => self.lease(&parts.method, rest),
-            Kind::Write => {
+            CallKind::Watch => self.watch(argument).await,
+            CallKind::Read if operation == "list" => reply::json(&self.lock().store.list(argument)),
+            CallKind::Read => value_response(StatusCode::OK, &self.lock().store.get(argument)),
+            CallKind::Lease => self.lease(&parts.method, argument),
+            CallKind::Write => {
                 let write = Write {
-                    key: rest.to_owned(),
-                    expected: Version(number(&parts.headers, EXPECTED_VERSION_HEADER).unwrap_or(0)),
-                    lease: number(&parts.headers, LEASE_HEADER).map(LeaseId),
+                    key: argument.to_owned(),
+                    expected: Version(
+                        header_number(&parts.headers, EXPECTED_VERSION_HEADER).unwrap_or(0),
+                    ),
+                    lease: header_number(&parts.headers, LEASE_HEADER).map(LeaseId),
                     value: (parts.method == Method::PUT).then_some(value),
                 };
                 self.write(write, faults)
@@ -188,7 +190,7 @@
     }
 
     fn write(self: &Arc<Self>, write: Write, faults: Faults) -> Response<Body> {
-        if !self.switches.loses_reply() {
+        if !self.switches.should_lose_reply() {
             return self.apply(write);
         }
         if faults.late_ms == 0 {
@@ -212,58 +214,58 @@
         drop(state);
         match outcome {
             None => reply::status(StatusCode::NOT_FOUND),
-            Some(CasOutcome::Conflict(found)) => versioned(StatusCode::CONFLICT, &found),
+            Some(CasOutcome::Conflict(current)) => value_response(StatusCode::CONFLICT, &current),
             Some(CasOutcome::Written(version)) => {
-                self.notify();
-                versioned(StatusCode::OK, &Versioned { version, value: Default::default() })
+                self.notify_watches();
+                value_response(StatusCode::OK, &Versioned { version, value: Default::default() })
             }
         }
     }
 
-    fn lease(&self, method: &Method, rest: &str) -> Response<Body> {
-        let Ok(number) = rest.parse() else {
+    fn lease(&self, method: &Method, argument: &str) -> Response<Body> {
+        let Ok(ttl_ms_or_id) = argument.parse() else {
             return reply::status(StatusCode::BAD_REQUEST);
         };
         let now = self.now();
         let mut state = self.lock();
         if *method == Method::POST {
-            return reply::json(&state.store.grant(now, Duration::from_millis(number)));
+            return reply::json(&state.store.grant(now, Duration::from_millis(ttl_ms_or_id)));
         }
-        if state.store.renew(now, LeaseId(number)) {
+        if state.store.renew(now, LeaseId(ttl_ms_or_id)) {
             return reply::status(StatusCode::OK);
         }
         reply::status(StatusCode::NOT_FOUND)
     }
 
-    async fn watch(&self, rest: &str) -> Response<Body> {
-        let mut parts = rest.splitn(3, '/');
+    async fn watch(&self, argument: &str) -> Response<Body> {
+        let mut parts = argument.splitn(3, '/');
         let after = parts.next().and_then(|after| after.parse().ok()).unwrap_or(0);
         let wait = parts.next().and_then(|wait| wait.parse().ok()).unwrap_or(0);
         let prefix = parts.next().unwrap_or("").to_owned();
-        let until = Instant::now() + Duration::from_millis(wait).min(WATCH_MAX);
+        let deadline = Instant::now() + Duration::from_millis(wait).min(MAX_WATCH_TIME);
         let mut changed = self.changed.subscribe();
         loop {
             changed.borrow_and_update();
             self.expire();
             let changes = self.lock().store.changes(&prefix, Version(after));
-            if !changes.is_empty() || until <= Instant::now() {
+            if !changes.is_empty() || deadline <= Instant::now() {
                 return reply::json(&changes);
             }
-            // A lease may lapse while nobody calls, so the wait is cut into slices.
-            let slice = until.min(Instant::now() + Duration::from_millis(100));
-            let _ = tokio::time::timeout_at(slice, changed.changed()).await;
+            // A lease may expire while no call arrives, so the watch checks again at intervals.
+            let next_check = deadline.min(Instant::now() + Duration::from_millis(100));
+            let _ = tokio::time::timeout_at(next_check, changed.changed()).await;
         }
     }
 }
 
 impl Handler for Shared {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        Box::pin(self.answer(req))
+        Box::pin(self.respond(req))
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum CallKind {
     Read,
     Write,
     Lease,
@@ -272,7 +274,7 @@
 
 #[derive(PartialEq, Eq)]
 enum Admission {
-    Pass,
+    Accepted,
     Limited,
 }
 
@@ -280,26 +282,27 @@
     key: String,
     expected: Version,
     lease: Option<LeaseId>,
+    /// The new value; `None` removes the key.
     value: Option<bytes::Bytes>,
 }
 
-fn kind_of(verb: &str, method: &Method) -> Option<Kind> {
-    match (verb, method) {
-        ("kv", &Method::GET) | ("list", &Method::GET) => Some(Kind::Read),
-        ("kv", &Method::PUT) | ("kv", &Method::DELETE) => Some(Kind::Write),
-        ("lease", &Method::POST) | ("lease", &Method::PUT) => Some(Kind::Lease),
-        ("watch", &Method::GET) => Some(Kind::Watch),
+fn call_kind(operation: &str, method: &Method) -> Option<CallKind> {
+    match (operation, method) {
+        ("kv", &Method::GET) | ("list", &Method::GET) => Some(CallKind::Read),
+        ("kv", &Method::PUT) | ("kv", &Method::DELETE) => Some(CallKind::Write),
+        ("lease", &Method::POST) | ("lease", &Method::PUT) => Some(CallKind::Lease),
+        ("watch", &Method::GET) => Some(CallKind::Watch),
         _ => None,
     }
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
+fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn versioned(status: StatusCode, found: &Versioned) -> Response<Body> {
-    let mut answer = Response::new(full(found.value.clone()));
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(VERSION_HEADER, found.version.0.into());
-    answer
+fn value_response(status: StatusCode, current: &Versioned) -> Response<Body> {
+    let mut response = Response::new(full(current.value.clone()));
+    *response.status_mut() = status;
+    response.headers_mut().insert(VERSION_HEADER, current.version.0.into());
+    response
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the platform and the backend servers, over HTTP, with fault switches.
+//! Simulated platform services and backend servers for tests, over HTTP and with fault injection.
 
 pub mod bandwidth;
 pub mod cloud;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A stretch of network between two ends: it can delay, cut, and lose track of connections.
+//! A simulated network link that can delay data, refuse connections and stall open ones.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,23 +15,23 @@
 
 use crate::bandwidth::BandwidthLimit;
 
-/// The bytes that are passed on at once.
-const CHUNK: usize = 16 * 1024;
+/// The maximum number of bytes that are forwarded at a time.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// A `LinkState` is what the stretch of network does at this moment.
+/// A `LinkState` is the current behavior of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkState {
     /// The delay in each direction.
     pub delay: Duration,
-    /// No new connection is opened.
-    pub cut: bool,
-    /// Connections opened before this number was raised pass nothing on any more.
-    pub forgotten: u64,
-    /// The connections that were opened.
+    /// Whether new connections are refused.
+    pub refusing: bool,
+    /// The number of blackholes so far; connections opened before the last one forward no data.
+    pub blackholes: u64,
+    /// The number of connections that were opened.
     pub opened: u64,
 }
 
-/// A `Link` listens on a loopback port and passes everything on to another address.
+/// A `Link` forwards connections from a loopback port to another address.
 pub struct Link {
     address: SocketAddr,
     state: Arc<watch::Sender<LinkState>>,
@@ -39,12 +39,12 @@
 }
 
 impl Link {
-    /// Starts a stretch of network to `target`.
+    /// Starts a link to `target`.
     pub async fn start(target: SocketAddr) -> io::Result<Link> {
         Link::open(target, None).await
     }
 
-    /// Starts a stretch of network over which what `target` sends shares a rate with other links.
+    /// Starts a link to `target`; the data from `target` shares `bandwidth` with other links.
     pub async fn start_limited(
         target: SocketAddr,
         bandwidth: Arc<BandwidthLimit>,
@@ -60,12 +60,12 @@
         Ok(Link { address, state, task })
     }
 
-    /// Returns the address to connect to in place of the target's.
+    /// Returns the address to connect to instead of the target's.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how many connections were opened so far.
+    /// Returns the number of connections that were opened so far.
     pub fn opened(&self) -> u64 {
         self.state.borrow().opened
     }
@@ -75,14 +75,14 @@
         self.state.send_modify(|state| state.delay = delay);
     }
 
-    /// Refuses new connections, or takes them again.
-    pub fn set_refusing(&self, cut: bool) {
-        self.state.send_modify(|state| state.cut = cut);
+    /// Sets whether new connections are refused.
+    pub fn set_refusing(&self, refusing: bool) {
+        self.state.send_modify(|state| state.refusing = refusing);
     }
 
-    /// Lets all open connections go silent for good; new ones work.
+    /// Stops forwarding the data of open connections without closing them; new ones work.
     pub fn blackhole_connections(&self) {
-        self.state.send_modify(|state| state.forgotten += 1);
+        self.state.send_modify(|state| state.blackholes += 1);
     }
 }
 
@@ -99,37 +99,49 @@
     state: Arc<watch::Sender<LinkState>>,
 ) {
     loop {
-        let Ok((near, _)) = listener.accept().await else { continue };
-        if state.borrow().cut {
+        let Ok((client, _)) = listener.accept().await else { continue };
+        if state.borrow().refusing {
             continue;
         }
-        let Ok(far) = TcpStream::connect(target).await else { continue };
-        let _ = near.set_nodelay(true);
-        let _ = far.set_nodelay(true);
-        let (near_in, near_out) = near.into_split();
-        let (far_in, far_out) = far.into_split();
+        let Ok(server) = TcpStream::connect(target).await else { continue };
+        let _ = client.set_nodelay(true);
+        let _ = server.set_nodelay(true);
+        let (client_read, client_write) = client.into_split();
+        let (server_read, server_write) = server.into_split();
         state.send_modify(|state| state.opened += 1);
-        let born = state.borrow().forgotten;
-        tokio::spawn(pass(near_in, far_out, None, state.subscribe(), born));
-        tokio::spawn(pass(far_in, near_out, bandwidth.clone(), state.subscribe(), born));
+        let blackholes_at_open = state.borrow().blackholes;
+        tokio::spawn(forward(
+            client_read,
+            server_write,
+            None,
+            state.subscribe(),
+            blackholes_at_open,
+        ));
+        tokio::spawn(forward(
+            server_read,
+            client_write,
+            bandwidth.clone(),
+            state.subscribe(),
+            blackholes_at_open,
+        ));
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     bandwidth: Option<Arc<BandwidthLimit>>,
     mut state: watch::Receiver<LinkState>,
-    born: u64,
+    blackholes_at_open: u64,
 ) {
-    let mut buf = vec![0; CHUNK];
+    let mut buf = vec![0; MAX_CHUNK_BYTES];
     loop {
-        // Being forgotten is looked at first, so that nothing sent after it is passed on.
+        // The blackhole is checked first, so that no data that is sent after it is forwarded.
         let read = tokio::select! {
             biased;
-            forgotten = is_forgotten(&mut state, born) => {
-                if forgotten {
-                    silence(from, to).await;
+            blackholed = wait_for_blackhole(&mut state, blackholes_at_open) => {
+                if blackholed {
+                    hold_open(from, to).await;
                 }
                 return;
             }
@@ -145,7 +157,7 @@
             sleep(delay).await;
         }
         if let Some(bandwidth) = &bandwidth {
-            bandwidth.pass(count).await;
+            bandwidth.wait_to_send(count).await;
         }
         if to.write_all(&buf[..count]).await.is_err() {
             return;
@@ -153,12 +165,15 @@
     }
 }
 
-async fn is_forgotten(state: &mut watch::Receiver<LinkState>, born: u64) -> bool {
-    state.wait_for(|state| state.forgotten != born).await.is_ok()
+async fn wait_for_blackhole(
+    state: &mut watch::Receiver<LinkState>,
+    blackholes_at_open: u64,
+) -> bool {
+    state.wait_for(|state| state.blackholes != blackholes_at_open).await.is_ok()
 }
 
-// Both halves stay open, so neither end is told that nothing passes any more.
-async fn silence(from: OwnedReadHalf, to: OwnedWriteHalf) {
+// Both halves stay open, so neither peer can detect that no data is forwarded.
+async fn hold_open(from: OwnedReadHalf, to: OwnedWriteHalf) {
     let _held = (from, to);
     std::future::pending::<()>().await;
 }
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers that every stand-in gives in the same way.
+//! Responses that the simulated servers share, and the reading of request bodies.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 use hyper::{Response, StatusCode, body::Incoming};
 use serde::Serialize;
 
-/// The largest body that a stand-in reads, in bytes.
-const BODY_LIMIT: usize = 64 << 20;
-/// The longest time that a stand-in waits for a body.
+/// The maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// The maximum time to wait for a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Returns an answer with a status and no body.
+/// Returns a response with a status and an empty body.
 pub fn status(status: StatusCode) -> Response<Body> {
-    let mut answer = Response::new(empty());
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(empty());
+    *response.status_mut() = status;
+    response
 }
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json(value: &impl Serialize) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(bytes) => Response::new(full(bytes)),
@@ -28,12 +28,12 @@
     }
 }
 
-/// Returns the answer to the question which VM this is.
+/// Returns the response to an identity request: the name of the VM.
 pub fn identity(vm: &VmName) -> Response<Body> {
     json(&Identity { vm: vm.clone() })
 }
 
-/// Reads a request's whole body.
+/// Reads the whole body of a request.
 pub async fn read(body: Incoming) -> Result<Bytes, BodyError> {
-    read_limited(body, BODY_LIMIT, BODY_TIMEOUT).await
+    read_limited(body, MAX_BODY_BYTES, BODY_TIMEOUT).await
 }
--- a/crates/standin/src/running_server.rs
+++ b/crates/standin/src/running_server.rs
@@ -1,11 +1,11 @@
-//! A stand-in's server task, which can be ended as a VM's death would end it.
+//! The server task of a simulated server, which can be aborted to simulate the failure of its VM.
 
 use std::{io, net::SocketAddr, sync::Arc};
 
 use bulrushhall_external::http::{Handler, ServerOptions, listen, serve};
 use tokio::{sync::watch, task::JoinHandle};
 
-/// A `RunningServer` is a server that runs until it is killed or dropped.
+/// A `RunningServer` is an HTTP server that runs until it is killed or dropped.
 pub struct RunningServer {
     address: SocketAddr,
     task: JoinHandle<()>,
@@ -35,7 +35,7 @@
         self.address
     }
 
-    /// Ends the server and closes its connections at once.
+    /// Aborts the server and closes its connections immediately.
     pub fn kill(&self) {
         self.task.abort();
     }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a plain service, which counts how often each key was executed.
+//! A simulated plain service that counts the executions of each idempotency key.
 
 use std::{
     collections::BTreeMap,
@@ -19,19 +19,19 @@
 
 use crate::{reply, running_server::RunningServer, switches::Switches};
 
-/// The header that carries a caller's idempotency key.
-const KEY_HEADER: &str = "idempotency-key";
+/// The header with the idempotency key of a call.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// A `Ledger` counts what all backend servers of one plain service have executed.
+/// A `Ledger` counts the executions of each key over all backend servers of one plain service.
 #[derive(Debug, Default)]
 pub struct Ledger {
     runs: Mutex<BTreeMap<String, u32>>,
 }
 
-/// `ServiceCounts` tell what a plain service has executed.
+/// `ServiceCounts` are the executions of a plain service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCounts {
-    /// The number of executions of each key.
+    /// The number of executions of each idempotency key.
     pub runs: BTreeMap<String, u32>,
 }
 
@@ -41,12 +41,12 @@
     running: RunningServer,
 }
 
-/// `ServiceOptions` set how a stand-in service behaves.
+/// `ServiceOptions` set the behavior of a simulated service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceOptions {
-    /// How long a call takes.
+    /// The duration of a call.
     pub work: Duration,
-    /// Whether a call with an old fencing number is refused.
+    /// Whether calls with an outdated fencing number are refused.
     pub checks_fence: bool,
 }
 
@@ -54,7 +54,7 @@
     vm: VmName,
     options: ServiceOptions,
     ledger: Arc<Ledger>,
-    fence: Mutex<u64>,
+    highest_fence: Mutex<u64>,
     switches: Switches,
 }
 
@@ -65,12 +65,12 @@
 }
 
 impl Ledger {
-    /// Returns the executions so far.
+    /// Returns the number of executions of each key so far.
     pub fn counts(&self) -> ServiceCounts {
         ServiceCounts { runs: self.lock().clone() }
     }
 
-    /// Returns how many keys were executed more than once.
+    /// Returns the number of keys that were executed more than once.
     pub fn duplicated_keys(&self) -> usize {
         self.lock().values().filter(|runs| 1 < **runs).count()
     }
@@ -88,7 +88,7 @@
 }
 
 impl ServiceServer {
-    /// Starts a backend server on a free loopback port; executions go to `ledger`.
+    /// Starts a backend server on a free loopback port that counts its executions in `ledger`.
     pub async fn start(
         vm: VmName,
         ledger: Arc<Ledger>,
@@ -96,7 +96,8 @@
     ) -> io::Result<ServiceServer> {
         let seed = xxhash_rust::xxh3::xxh3_64(vm.as_str().as_bytes());
         let switches = Switches::new(seed);
-        let shared = Arc::new(Shared { vm, options, ledger, fence: Mutex::default(), switches });
+        let shared =
+            Arc::new(Shared { vm, options, ledger, highest_fence: Mutex::default(), switches });
         let running = RunningServer::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
         Ok(ServiceServer { shared, running })
     }
@@ -116,25 +117,25 @@
         &self.shared.switches
     }
 
-    /// Ends the backend server and closes its connections, as the VM's death would.
+    /// Stops the backend server and closes its connections, as the failure of its VM would.
     pub fn kill(&self) {
         self.running.kill();
     }
 }
 
 impl Shared {
-    async fn answer(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
+    async fn respond(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
         if req.uri().path() == "/identity" {
             return reply::identity(&self.vm);
         }
-        let faults = self.switches.enter().await;
+        let faults = self.switches.delay_call().await;
         if faults.outage {
             return reply::status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        if !self.fence_passes(&req) {
+        if !self.accepts_fence(&req) {
             return reply::status(StatusCode::PRECONDITION_FAILED);
         }
-        let key = req.headers().get(KEY_HEADER).and_then(|key| key.to_str().ok());
+        let key = req.headers().get(IDEMPOTENCY_KEY_HEADER).and_then(|key| key.to_str().ok());
         let key = key.map(str::to_owned);
         let (method, path) = (req.method().clone(), req.uri().path().to_owned());
         if reply::read(req.into_body()).await.is_err() {
@@ -142,21 +143,22 @@
         }
         tokio::time::sleep(self.options.work).await;
 
-        let run = match (&key, method) {
+        let execution = match (&key, method) {
             (_, Method::GET) => 0,
             (Some(key), _) => self.ledger.execute(key),
             (None, _) => self.ledger.execute("(no key)"),
         };
-        if self.switches.loses_reply() {
+        if self.switches.should_lose_reply() {
             return reply::status(StatusCode::GATEWAY_TIMEOUT);
         }
-        reply::json(&serde_json::json!({ "path": path, "key": key, "run": run }))
+        reply::json(&serde_json::json!({ "path": path, "key": key, "run": execution }))
     }
 
-    fn fence_passes(&self, req: &Request<Incoming>) -> bool {
+    fn accepts_fence(&self, req: &Request<Incoming>) -> bool {
         let fence = req.headers().get(FENCING_NUMBER_HEADER).and_then(|fence| fence.to_str().ok());
         let fence: u64 = fence.and_then(|fence| fence.parse().ok()).unwrap_or(0);
-        let mut highest = self.fence.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut highest =
+            self.highest_fence.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if self.options.checks_fence && fence < *highest {
             return false;
         }
@@ -167,6 +169,6 @@
 
 impl Handler for Shared {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        Box::pin(self.answer(req))
+        Box::pin(self.respond(req))
     }
 }
--- a/crates/standin/src/switches.rs
+++ b/crates/standin/src/switches.rs
@@ -1,4 +1,4 @@
-//! Fault switches that every stand-in has.
+//! Fault switches of the simulated servers.
 
 use std::time::Duration;
 
@@ -8,30 +8,30 @@
 use std::sync::Mutex;
 use tokio::sync::watch;
 
-/// `Faults` are the faults that are switched on at a stand-in.
+/// `Faults` are the faults that are switched on at a simulated server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every call is refused with status 503.
+    /// Whether every call is refused with status 503.
     pub outage: bool,
-    /// No call is answered until the switch is off again.
+    /// Whether all calls hang until the switch is turned off.
     pub frozen: bool,
-    /// Each call waits this long first, in milliseconds.
+    /// The delay of each call, in milliseconds.
     pub slow_ms: u64,
-    /// The share of calls that take effect although the answer says status 504.
+    /// The share of calls that take effect although the response has status 504.
     pub lost_replies: f64,
-    /// Writes whose reply is lost take effect this much later, in milliseconds.
+    /// The delay after which writes with a lost reply take effect, in milliseconds.
     pub late_ms: u64,
 }
 
-/// `Switches` hold a stand-in's faults, which may be changed at any time.
+/// `Switches` hold the faults of a simulated server; they may change at any time.
 pub struct Switches {
     faults: watch::Sender<Faults>,
     random: Mutex<Pcg64Mcg>,
 }
 
 impl Switches {
-    /// Returns switches that are all off; `seed` decides which replies are lost later.
+    /// Returns switches that are all off; `seed` determines which replies will be lost.
     pub fn new(seed: u64) -> Switches {
         let random = Mutex::new(Pcg64Mcg::seed_from_u64(seed));
         Switches { faults: watch::Sender::new(Faults::default()), random }
@@ -47,19 +47,19 @@
         *self.faults.borrow()
     }
 
-    /// Waits as the slowness and the freeze ask for, and returns the faults then in force.
-    pub async fn enter(&self) -> Faults {
-        let slow = self.faults().slow_ms;
-        if 0 < slow {
-            tokio::time::sleep(Duration::from_millis(slow)).await;
+    /// Delays a call while the server is slow or frozen; returns the faults in force afterwards.
+    pub async fn delay_call(&self) -> Faults {
+        let slow_ms = self.faults().slow_ms;
+        if 0 < slow_ms {
+            tokio::time::sleep(Duration::from_millis(slow_ms)).await;
         }
         let mut faults = self.faults.subscribe();
-        let entered = faults.wait_for(|faults| !faults.frozen).await.map(|faults| *faults);
-        entered.unwrap_or_default()
+        let unfrozen = faults.wait_for(|faults| !faults.frozen).await.map(|faults| *faults);
+        unfrozen.unwrap_or_default()
     }
 
-    /// Returns whether the reply to the call at hand is lost.
-    pub fn loses_reply(&self) -> bool {
+    /// Returns whether the reply to the current call is lost, at random.
+    pub fn should_lose_reply(&self) -> bool {
         let share = self.faults().lost_replies;
         if share <= 0.0 {
             return false;
@@ -69,7 +69,7 @@
     }
 
     /// Returns a random number below `bound`.
-    pub fn below(&self, bound: u64) -> u64 {
+    pub fn random_below(&self, bound: u64) -> u64 {
         let mut random = self.random.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         random.next_u64() % bound.max(1)
     }
--- a/crates/standin/src/vm_list.rs
+++ b/crates/standin/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the lagging list of VMs.
+//! A simulated list of VMs that lags behind the actual ones.
 
 use std::{
     io,
@@ -18,7 +18,7 @@
 
 use crate::{reply, running_server::RunningServer, switches::Switches};
 
-/// A `VmListServer` is a list of VMs whose answers lag behind what it was told.
+/// A `VmListServer` is a list of VMs whose changes become visible after a lag.
 pub struct VmListServer {
     shared: Arc<Shared>,
     running: RunningServer,
@@ -36,7 +36,7 @@
 }
 
 impl VmListServer {
-    /// Starts the list on a free loopback port.
+    /// Starts the list on a free loopback port; changes become visible after `lag`.
     pub async fn start(lag: Duration) -> io::Result<VmListServer> {
         let shared =
             Arc::new(Shared { lag, changes: Mutex::default(), switches: Switches::new(3) });
@@ -44,7 +44,7 @@
         Ok(VmListServer { shared, running })
     }
 
-    /// Returns the address that the list is found at.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.running.address()
     }
@@ -54,19 +54,19 @@
         &self.shared.switches
     }
 
-    /// Puts a VM on the list or changes it there.
+    /// Adds a VM to the list or replaces its entry.
     pub fn put(&self, vm: ListedVm) {
-        self.shared.note(Change::Put(vm));
+        self.shared.record(Change::Put(vm));
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove(&self, vm: &VmName) {
-        self.shared.note(Change::Remove(vm.clone()));
+        self.shared.record(Change::Remove(vm.clone()));
     }
 }
 
 impl Shared {
-    fn note(&self, change: Change) {
+    fn record(&self, change: Change) {
         let mut changes = self.changes.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         changes.push((Instant::now(), change));
     }
@@ -82,7 +82,7 @@
                 Change::Put(put) => (&put.vm, Some(put)),
                 Change::Remove(vm) => (vm, None),
             };
-            listed.retain(|known| known.vm != *vm);
+            listed.retain(|entry| entry.vm != *vm);
             listed.extend(put.cloned());
         }
         listed
@@ -92,7 +92,7 @@
 impl Handler for Shared {
     fn handle(self: Arc<Self>, _req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
         Box::pin(async move {
-            if self.switches.enter().await.outage {
+            if self.switches.delay_call().await.outage {
                 return reply::status(StatusCode::SERVICE_UNAVAILABLE);
             }
             reply::json(&self.list())
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the weight store, which hands out one load after the other.
+//! A simulated weight store that serves one load at a time.
 
 use std::{
     io,
@@ -17,28 +17,28 @@
 
 use crate::{reply, running_server::RunningServer, switches::Switches};
 
-/// A `WeightServer` is a weight store with a rate limit.
+/// A `WeightServer` is a simulated weight store on a loopback port.
 pub struct WeightServer {
     shared: Arc<Shared>,
     running: RunningServer,
 }
 
 struct Shared {
-    load: Duration,
+    load_time: Duration,
     free_at: Mutex<Instant>,
     switches: Switches,
 }
 
 impl WeightServer {
-    /// Starts a store on a free loopback port whose loads take `load` each, one at a time.
-    pub async fn start(load: Duration) -> io::Result<WeightServer> {
+    /// Starts a store on a free loopback port that runs one load of duration `load_time` at a time.
+    pub async fn start(load_time: Duration) -> io::Result<WeightServer> {
         let free_at = Mutex::new(Instant::now());
-        let shared = Arc::new(Shared { load, free_at, switches: Switches::new(4) });
+        let shared = Arc::new(Shared { load_time, free_at, switches: Switches::new(4) });
         let running = RunningServer::start(Arc::clone(&shared) as Arc<dyn Handler>).await?;
         Ok(WeightServer { shared, running })
     }
 
-    /// Returns the address that the store is found at.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.running.address()
     }
@@ -53,16 +53,16 @@
     fn grant(&self) -> WeightGrant {
         let now = Instant::now();
         let mut free_at = self.free_at.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        let starts = (*free_at).max(now);
-        *free_at = starts + self.load;
-        WeightGrant { wait_ms: millis(starts - now), load_ms: millis(self.load) }
+        let start_at = (*free_at).max(now);
+        *free_at = start_at + self.load_time;
+        WeightGrant { wait_ms: millis(start_at - now), load_ms: millis(self.load_time) }
     }
 }
 
 impl Handler for Shared {
     fn handle(self: Arc<Self>, _req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
         Box::pin(async move {
-            if self.switches.enter().await.outage {
+            if self.switches.delay_call().await.outage {
                 return reply::status(StatusCode::SERVICE_UNAVAILABLE);
             }
             reply::json(&self.grant())
@@ -70,6 +70,6 @@
     }
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/standin/tests/engine_model.rs
+++ b/crates/standin/tests/engine_model.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine batches continuously, honours priorities, and resumes exactly.
+//! The simulated engine batches continuously, respects priorities and resumes exactly.
 
 use bulrushhall_core::{FencingNumber, Incarnation, ModelName, RequestId, Stamp};
 use bulrushhall_external::engine::{Frame, Generate, Usage};
@@ -44,16 +44,16 @@
         Frame::Done(usage) if output.request.sequence == sequence => Some(usage),
         _ => None,
     });
-    found.expect("a finished answer")
+    found.expect("a finished response")
 }
 
 fn finished_at(outputs: &[(Stamp, Output)], sequence: u64) -> Stamp {
     let done = outputs.iter().rfind(|(_, output)| output.request.sequence == sequence);
-    done.expect("an answer").0
+    done.expect("a response").0
 }
 
 #[test]
-fn whole_text() {
+fn complete_text() {
     let mut model = EngineModel::new(EngineOptions::default());
     for sequence in 0..5 {
         model.submit(Stamp(0), generate(sequence, &format!("prompt {sequence}"), 0));
@@ -65,8 +65,8 @@
     }
 }
 
-// An engine dies after some tokens and the answer goes on elsewhere. Resumed at any token, the
-// text has to be the one that a single engine would have written.
+// Guards against a response that changes when its engine fails after some tokens and another engine
+// resumes it: at any token, the text must be the one that a single engine generates.
 #[rstest]
 #[case(1)]
 #[case(7)]
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn urgent_first() {
+fn urgent_before_others() {
     let options = EngineOptions { batch: 2, ..EngineOptions::default() };
     let mut model = EngineModel::new(options);
     for sequence in 0..4 {
@@ -94,8 +94,8 @@
     model.submit(Stamp(0), generate(9, "urgent", 0));
     let outputs = run(&mut model);
     let urgent = finished_at(&outputs, 9);
-    let patient = (0..4).map(|sequence| finished_at(&outputs, sequence)).max();
-    assert!(Some(urgent) < patient);
+    let others = (0..4).map(|sequence| finished_at(&outputs, sequence)).max();
+    assert!(Some(urgent) < others);
     for sequence in 0..4 {
         let expected = expected_answer(&format!("patient {sequence}"), 40);
         assert_eq!(text_of(&outputs, sequence), expected);
@@ -113,23 +113,23 @@
 }
 
 #[test]
-fn moved_cache() {
+fn imported_cache() {
     let prompt = "word ".repeat(64);
-    let mut from = EngineModel::new(EngineOptions::default());
-    from.submit(Stamp(0), generate(1, &prompt, 0));
-    let first = from.next_wake().expect("work");
-    from.advance(first);
-    let blocks = from.export(RequestId { origin: Incarnation(1), sequence: 1 });
+    let mut exporter = EngineModel::new(EngineOptions::default());
+    exporter.submit(Stamp(0), generate(1, &prompt, 0));
+    let first = exporter.next_wake().expect("work");
+    exporter.advance(first);
+    let blocks = exporter.export(RequestId { origin: Incarnation(1), sequence: 1 });
     assert_eq!(blocks.len(), 4);
 
-    let mut to = EngineModel::new(EngineOptions::default());
-    to.import(&blocks);
-    to.submit(Stamp(0), Generate { attempt: 1, ..generate(1, &prompt, 0) });
-    assert_eq!(usage_of(&run(&mut to), 1).recomputed_tokens, 0);
+    let mut importer = EngineModel::new(EngineOptions::default());
+    importer.import(&blocks);
+    importer.submit(Stamp(0), Generate { attempt: 1, ..generate(1, &prompt, 0) });
+    assert_eq!(usage_of(&run(&mut importer), 1).recomputed_tokens, 0);
 }
 
 #[test]
-fn larger_batch_slower() {
+fn larger_batch_is_slower() {
     let mut alone = EngineModel::new(EngineOptions::default());
     alone.submit(Stamp(0), generate(0, "prompt", 0));
     let alone = finished_at(&run(&mut alone), 0);
--- a/crates/standin/tests/kv_faults.rs
+++ b/crates/standin/tests/kv_faults.rs
@@ -1,4 +1,4 @@
-//! The stand-in key-value service keeps its promises and breaks them when told to.
+//! Compare-and-swap, leases, watches, limits and faults of the simulated key-value service.
 
 use std::{sync::Arc, time::Duration};
 
@@ -36,55 +36,55 @@
 }
 
 #[tokio::test]
-async fn lapsed_lease() {
+async fn expired_lease() {
     let (_server, kv) = start().await;
     let lease = kv.grant(Duration::from_millis(150)).await.expect("a lease");
     kv.put_if("held", Version(0), "me".into(), Some(lease)).await.expect("an outcome");
     kv.renew(lease).await.expect("a renewal");
-    let seen = kv.get("held").await.expect("a value").version;
-    let changes = kv.watch("held", seen, Duration::from_secs(5)).await.expect("a change");
+    let version = kv.get("held").await.expect("a value").version;
+    let changes = kv.watch("held", version, Duration::from_secs(5)).await.expect("a change");
     assert!(changes.changes[0].removed);
-    let late = kv.renew(lease).await.expect_err("the lease has lapsed");
+    let late = kv.renew(lease).await.expect_err("the lease has expired");
     assert_eq!(late.fault, CallFault::Refused { status: 404 });
 }
 
 #[tokio::test]
-async fn woken_watch() {
+async fn watch_returns_on_change() {
     let (_server, kv) = start().await;
-    let writing = async {
+    let write = async {
         sleep(Duration::from_millis(50)).await;
         kv.put_if("w/1", Version(0), "x".into(), None).await
     };
-    let watching = kv.watch("w/", Version(0), Duration::from_secs(10));
-    let (changes, written) = tokio::join!(watching, writing);
+    let watch = kv.watch("w/", Version(0), Duration::from_secs(10));
+    let (changes, written) = tokio::join!(watch, write);
     written.expect("an outcome");
     assert_eq!(changes.expect("changes").changes[0].key, "w/1");
 }
 
-// The service takes a write and its answer is lost on the way. The writer sees a failed call and
-// must not take it for a write that was not done.
+// Guards against an applied write that is reported as not executed: the service applies the write
+// and its reply is lost, so the client must report that the outcome is unknown.
 #[tokio::test]
 async fn lost_reply() {
     let (server, kv) = start().await;
     server.switches().set(Faults { lost_replies: 1.0, ..Faults::default() });
-    let error = kv.put_if("a", Version(0), "1".into(), None).await.expect_err("no answer");
+    let error = kv.put_if("a", Version(0), "1".into(), None).await.expect_err("no reply");
     assert_eq!(error.ran, Ran::Unknown);
     server.switches().set(Faults::default());
     assert_eq!(&kv.get("a").await.expect("a value").value[..], b"1");
 }
 
-// As above, but the write lands only later: a read straight after the failed call shows the old
-// value and would be wrongly taken for proof that the write never happened.
+// As above, but the write is applied after a delay: a read right after the failed call returns the
+// old value, which is no proof that the write was not applied.
 #[tokio::test]
 async fn late_write() {
     let (server, kv) = start().await;
     server.switches().set(Faults { lost_replies: 1.0, late_ms: 200, ..Faults::default() });
-    kv.put_if("a", Version(0), "1".into(), None).await.expect_err("no answer");
+    kv.put_if("a", Version(0), "1".into(), None).await.expect_err("no reply");
     server.switches().set(Faults::default());
     assert_eq!(kv.get("a").await.expect("a value").version, Version(0));
     let until = Instant::now() + Duration::from_secs(10);
     while kv.get("a").await.expect("a value").version == Version(0) {
-        assert!(Instant::now() < until, "the write never landed");
+        assert!(Instant::now() < until, "the write was never applied");
         sleep(Duration::from_millis(10)).await;
     }
 }
@@ -125,14 +125,15 @@
     assert_eq!(server.counts().reads, 40);
 }
 
-// Guards against a value that never arrives because its link needs longer for it than a call may take.
+// Guards against a value that is never received because its transfer over a slow link takes longer
+// than the timeout of a call.
 #[tokio::test]
 async fn slow_link() {
-    let (server, near) = start().await;
+    let (server, fast) = start().await;
     let value = vec![b'x'; MAX_VALUE_BYTES];
-    near.put_if("large", Version(0), value.into(), None).await.expect("an outcome");
+    fast.put_if("large", Version(0), value.into(), None).await.expect("an outcome");
     let bandwidth = Arc::new(BandwidthLimit::new(MAX_VALUE_BYTES as f64 / 6.0));
     let link = Link::start_limited(server.address(), bandwidth).await.expect("a link");
-    let far = HttpKeyValue::new(Endpoint::new(link.address(), EndpointOptions::default()));
-    assert_eq!(far.get("large").await.expect("a value").value.len(), MAX_VALUE_BYTES);
+    let slow = HttpKeyValue::new(Endpoint::new(link.address(), EndpointOptions::default()));
+    assert_eq!(slow.get("large").await.expect("a value").value.len(), MAX_VALUE_BYTES);
 }
