--- a/crates/cli/src/changes.rs
+++ b/crates/cli/src/changes.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations.
+//! The differences between two configurations.
 
 use std::collections::BTreeMap;
 
@@ -11,19 +11,19 @@
 /// A `Change` is one value that differs between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// The section, as its header is written.
+    /// The header of the section.
     pub section: String,
-    /// The key; none where the whole section is new or gone.
+    /// The key, or `None` if the whole section was added or removed.
     pub key: Option<String>,
-    /// The value before; none where it was the default or the section is new.
+    /// The value before, or `None` if it was the default or the section was added.
     pub before: Option<String>,
-    /// The value after; none where it is the default or the section is gone.
+    /// The value after, or `None` if it is the default or the section was removed.
     pub after: Option<String>,
 }
 
-type Values = BTreeMap<String, BTreeMap<String, String>>;
+type SectionValues = BTreeMap<String, BTreeMap<String, String>>;
 
-/// Returns what differs from `before` to `after`, in the order of sections and keys.
+/// Returns the differences from `before` to `after`, ordered by section and key.
 pub fn changes(before: &Deployment, after: &Deployment) -> Vec<Change> {
     let (before, after) = (values_of(before), values_of(after));
     let mut changes = Vec::new();
@@ -34,12 +34,12 @@
     for header in headers {
         let (old, new) = (before.get(header), after.get(header));
         if old.is_some() != new.is_some() {
-            let word = |there: bool| there.then(|| "present".to_owned());
+            let presence = |exists: bool| exists.then(|| "present".to_owned());
             changes.push(Change {
                 section: header.clone(),
                 key: None,
-                before: word(old.is_some()),
-                after: word(new.is_some()),
+                before: presence(old.is_some()),
+                after: presence(new.is_some()),
             });
         }
         let (old, new) = (old.unwrap_or(&empty), new.unwrap_or(&empty));
@@ -62,7 +62,7 @@
     changes
 }
 
-/// Returns the changes as text for people, one a line.
+/// Returns the changes as human-readable text, one per line.
 pub fn to_text(changes: &[Change]) -> String {
     let mut text = String::new();
     for change in changes {
@@ -74,16 +74,16 @@
     text
 }
 
-fn values_of(deployment: &Deployment) -> Values {
-    // What was rendered is well-formed, so there is always something to read.
+fn values_of(deployment: &Deployment) -> SectionValues {
+    // The text was rendered from a valid deployment, so it always parses.
     let sections = parse_sections("rendered", &render(deployment)).unwrap_or_default();
-    let mut all = Values::new();
+    let mut values_by_section = SectionValues::new();
     for section in sections {
         if section.kind.is_empty() {
             continue;
         }
         let values = section.values.iter().map(|(key, (value, _))| (key.clone(), value.clone()));
-        all.insert(section.header(), values.collect());
+        values_by_section.insert(section.header(), values.collect());
     }
-    all
+    values_by_section
 }
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `bulrush check`: everything that is wrong in a configuration or a node's settings.
+//! `bulrush check`: reports all problems of a configuration or of a node's settings.
 
 use bulrushhall_daemon::Settings;
 use clap::{Arg, ArgAction, ArgMatches, Command};
@@ -14,17 +14,17 @@
 /// Returns the description of the command's arguments.
 pub fn command() -> Command {
     Command::new("check")
-        .about("Tells everything that is wrong in a configuration, without applying it")
+        .about("Reports all problems of a configuration, without applying it")
         .arg(file_arg())
         .arg(
             Arg::new("settings")
                 .long("settings")
-                .help("The file is a node's settings and not a configuration")
+                .help("Check a node's settings file instead of a configuration")
                 .action(ArgAction::SetTrue),
         )
 }
 
-/// Checks a file.
+/// Checks a configuration or a settings file.
 pub fn run(args: &ArgMatches, out: &Output) -> Result<ExitStatus, CliError> {
     let (file, text) = read_file(args)?;
     if args.get_flag("settings") {
@@ -42,7 +42,7 @@
         ("teams", deployment.teams.len()),
         ("zones", deployment.zones.len()),
     ];
-    let words: Vec<String> = counts.iter().map(|(word, count)| format!("{count} {word}")).collect();
+    let parts: Vec<String> = counts.iter().map(|(kind, count)| format!("{count} {kind}")).collect();
     let value = json!({
         "file": file,
         "services": deployment.services.len(),
@@ -51,6 +51,6 @@
         "teams": deployment.teams.len(),
         "zones": deployment.zones.len(),
     });
-    out.print(&value, &format!("{file}: well-formed, {}", words.join(", ")))?;
+    out.print(&value, &format!("{file}: well-formed, {}", parts.join(", ")))?;
     Ok(ExitStatus::Done)
 }
--- a/crates/cli/src/commands/diff.rs
+++ b/crates/cli/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! `bulrush diff`: what a file would change.
+//! `bulrush diff`: shows what applying a configuration would change.
 
 use clap::{ArgMatches, Command};
 use serde_json::json;
@@ -15,12 +15,12 @@
 /// Returns the description of the command's arguments.
 pub fn command() -> Command {
     Command::new("diff")
-        .about("Tells what applying a configuration would change")
+        .about("Shows what applying a configuration would change")
         .arg(file_arg())
         .arg(key_value_arg())
 }
 
-/// Compares the file with the newest revision; the exit code tells whether they differ.
+/// Compares the file with the newest revision; the exit code says whether they differ.
 pub async fn run(args: &ArgMatches, out: &Output) -> Result<ExitStatus, CliError> {
     let (file, text) = read_file(args)?;
     let after = read_deployment(&file, &text)?;
@@ -31,7 +31,7 @@
     let value = json!({ "revision": newest.revision, "changes": changes });
     let mut text = changes::to_text(&changes);
     if changes.is_empty() {
-        text = format!("no difference from revision {}", newest.revision);
+        text = format!("no differences from revision {}", newest.revision);
     }
     out.print(&value, &text)?;
     Ok(if changes.is_empty() { ExitStatus::Done } else { ExitStatus::Different })
--- a/crates/cli/src/commands/drain.rs
+++ b/crates/cli/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `bulrush drain`: takes a node out of use.
+//! `bulrush drain`: makes a node finish its requests and accept no new ones.
 
 use bulrushhall_core::NodeName;
 use bulrushhall_daemon::operators::NodeStatus;
@@ -16,7 +16,7 @@
 /// Returns the description of the command's arguments.
 pub fn command() -> Command {
     Command::new("drain")
-        .about("Makes a node take no new work; what it has taken on is finished")
+        .about("Drains a node: it accepts no new requests and finishes those it has")
         .arg(
             Arg::new("name")
                 .value_name("NODE")
@@ -28,24 +28,24 @@
         .args(tls_args())
 }
 
-/// Finds the node by its name and tells it to leave.
+/// Finds the node by its name and starts draining it.
 pub async fn run(args: &ArgMatches, out: &Output) -> Result<ExitStatus, CliError> {
     let Some(name) = args.get_one::<NodeName>("name") else { return Ok(ExitStatus::Usage) };
     let nodes = Nodes::required(args)?;
     for &address in &nodes.addresses {
-        let status: Result<NodeStatus, _> = nodes.ask(address, Method::GET, "/status").await;
+        let status: Result<NodeStatus, _> = nodes.call(address, Method::GET, "/status").await;
         if !status.is_ok_and(|status| status.node == *name) {
             continue;
         }
         let status: NodeStatus = nodes
-            .ask(address, Method::POST, "/drain")
+            .call(address, Method::POST, "/drain")
             .await
             .map_err(|cause| CliError::Node { address, cause })?;
         let value =
             json!({ "node": name, "leaving": status.leaving, "unfinished": status.unfinished });
-        let told = format!("{name} takes no new work; {} request(s) to finish", status.unfinished);
-        out.print(&value, &told)?;
+        let summary = format!("{name} is draining; {} request(s) unfinished", status.unfinished);
+        out.print(&value, &summary)?;
         return Ok(ExitStatus::Done);
     }
-    Err(CliError::NoNode(name.to_string()))
+    Err(CliError::NodeNotFound(name.to_string()))
 }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's commands, one a file.
+//! The operators' commands, one per file.
 
 mod apply;
 mod check;
@@ -38,18 +38,18 @@
     commands.map(|command| command.arg(json_arg()))
 }
 
-/// Runs the command with a name.
+/// Runs the command with the given name.
 pub fn run(name: &str, args: &ArgMatches) -> ExitStatus {
     let format = if args.get_flag("json") { Format::Json } else { Format::Human };
     let out = Output { format };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let done = match runtime {
+    let result = match runtime {
         Ok(runtime) => runtime.block_on(dispatch(name, args, &out)),
         Err(cause) => Err(CliError::Start(cause)),
     };
-    done.unwrap_or_else(|error| {
-        out.fail(&error);
-        error.status()
+    result.unwrap_or_else(|error| {
+        out.print_error(&error);
+        error.exit_status()
     })
 }
 
@@ -70,39 +70,39 @@
 fn json_arg() -> Arg {
     Arg::new("json")
         .long("json")
-        .help("Print JSON instead of text for people")
+        .help("Print JSON instead of human-readable text")
         .action(ArgAction::SetTrue)
 }
 
-/// Returns the argument that names a configuration.
+/// Returns the argument for the path of a configuration.
 pub(crate) fn file_arg() -> Arg {
     Arg::new("file")
         .value_name("FILE")
-        .help("The configuration, in INI; - reads standard input")
+        .help("The configuration in INI format; - reads standard input")
         .required(true)
         .value_parser(value_parser!(PathBuf))
 }
 
-/// Returns the path and text of the file that the arguments name.
+/// Returns the path and contents of the file that the arguments name.
 pub(crate) fn read_file(args: &ArgMatches) -> Result<(String, String), CliError> {
     let standard_input = PathBuf::from("-");
     let file = args.get_one::<PathBuf>("file").unwrap_or(&standard_input);
-    let failed = |cause| CliError::Read { file: file.clone(), cause };
+    let read_error = |cause| CliError::Read { file: file.clone(), cause };
     if file == Path::new("-") {
         let mut text = String::new();
-        std::io::stdin().read_to_string(&mut text).map_err(failed)?;
+        std::io::stdin().read_to_string(&mut text).map_err(read_error)?;
         return Ok(("(standard input)".to_owned(), text));
     }
-    let text = std::fs::read_to_string(file).map_err(failed)?;
+    let text = std::fs::read_to_string(file).map_err(read_error)?;
     Ok((file.display().to_string(), text))
 }
 
-/// Returns the deployment that a text describes.
+/// Parses a configuration; `file` is the name that its problems are reported under.
 pub(crate) fn read_deployment(file: &str, text: &str) -> Result<Deployment, CliError> {
     parse_deployment(file, text).map_err(invalid)
 }
 
-/// Returns the failure for a text that was not understood.
+/// Returns the command's error for a configuration or settings file that does not parse.
 pub(crate) fn invalid(error: CoreError) -> CliError {
     match error {
         CoreError::Config(problems) => CliError::Invalid(problems),
--- a/crates/cli/src/commands/requests.rs
+++ b/crates/cli/src/commands/requests.rs
@@ -1,4 +1,4 @@
-//! `bulrush requests`: where a request is.
+//! `bulrush requests`: finds the nodes that know a request.
 
 use bulrushhall_core::RequestId;
 use bulrushhall_daemon::operators::RequestStatus;
@@ -16,11 +16,11 @@
 /// Returns the description of the command's arguments.
 pub fn command() -> Command {
     Command::new("requests")
-        .about("Finds a request: which nodes know it and how far it is")
+        .about("Finds a request: the nodes that know it and its state at each")
         .arg(
             Arg::new("id")
                 .value_name("ID")
-                .help("The id, from the x-request-id header or the answer")
+                .help("The request's id, from the x-request-id header or the response body")
                 .required(true)
                 .value_parser(value_parser!(RequestId)),
         )
@@ -28,22 +28,22 @@
         .args(tls_args())
 }
 
-/// Asks every node for the request.
+/// Queries every given node for the request.
 pub async fn run(args: &ArgMatches, out: &Output) -> Result<ExitStatus, CliError> {
     let Some(id) = args.get_one::<RequestId>("id") else { return Ok(ExitStatus::Usage) };
     let mut found: Vec<RequestStatus> = Vec::new();
-    let mut failed = None;
+    let mut last_error = None;
     let nodes = Nodes::required(args)?;
     for &address in &nodes.addresses {
-        match nodes.ask(address, Method::GET, &format!("/requests/{id}")).await {
+        match nodes.call(address, Method::GET, &format!("/requests/{id}")).await {
             Ok(status) => found.push(status),
             Err(CallError { fault: CallFault::Refused { status: 404 }, .. }) => continue,
-            Err(cause) => failed = Some(CliError::Node { address, cause }),
+            Err(cause) => last_error = Some(CliError::Node { address, cause }),
         }
     }
     if found.is_empty() {
-        // A node that was not reached may be the one that knows it.
-        return Err(failed.unwrap_or_else(|| CliError::NoRequest(id.to_string())));
+        // The request may be known only by a node that could not be reached.
+        return Err(last_error.unwrap_or_else(|| CliError::RequestNotFound(id.to_string())));
     }
     let rows = found.iter().map(|status| {
         vec![
--- a/crates/cli/src/commands/show.rs
+++ b/crates/cli/src/commands/show.rs
@@ -1,4 +1,4 @@
-//! `bulrush show`: the accepted configurations.
+//! `bulrush show`: prints accepted configurations.
 
 use bulrushhall_core::Revision;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
@@ -22,19 +22,19 @@
             Arg::new("revision")
                 .long("revision")
                 .value_name("N")
-                .help("An earlier revision instead of the newest")
+                .help("Print this revision instead of the newest")
                 .value_parser(value_parser!(u64)),
         )
         .arg(
             Arg::new("history")
                 .long("history")
-                .help("List the revisions that can be read")
+                .help("List the revisions that are still stored")
                 .action(ArgAction::SetTrue)
                 .conflicts_with("revision"),
         )
 }
 
-/// Prints a configuration, or the list of revisions.
+/// Prints one revision of the configuration, or the list of stored revisions.
 pub async fn run(args: &ArgMatches, out: &Output) -> Result<ExitStatus, CliError> {
     let kv = key_value(args)?;
     if args.get_flag("history") {
@@ -47,8 +47,8 @@
         Some(revision) => chain::revision(&*kv, Revision(*revision)).await?,
         None => chain::newest(&*kv).await?,
     };
-    let name = format!("revision {}", head.revision);
-    let deployment = read_deployment(&name, &head.text)?;
+    let source = format!("revision {}", head.revision);
+    let deployment = read_deployment(&source, &head.text)?;
     let value =
         json!({ "revision": head.revision, "text": head.text, "configuration": deployment });
     out.print(&value, &format!("; revision {}\n{}", head.revision, head.text))?;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed and what to do next.
+//! The errors of commands, each with its exit status and a next step for the operator.
 
 use std::{error, fmt, io, net::SocketAddr, path::PathBuf};
 
@@ -7,127 +7,127 @@
 
 use crate::exit::ExitStatus;
 
-/// A `CliError` is a failed command.
+/// A `CliError` is the reason why a command failed.
 #[derive(Debug)]
 pub enum CliError {
     /// A file could not be read.
     Read {
         /// The file.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// The result could not be written.
+    /// The output could not be written.
     Write(io::Error),
-    /// The runtime could not be started.
+    /// The async runtime could not be started.
     Start(io::Error),
-    /// The certificates could not be used.
+    /// The TLS files could not be loaded.
     Tls(TlsError),
-    /// A text has problems, which have been printed.
+    /// A configuration or settings file has problems.
     Invalid(Vec<Problem>),
     /// No address of the key-value service was given.
-    NoKeyValue,
+    NoKeyValueAddress,
     /// No address of a node was given.
-    NoNodes,
-    /// The key-value service did not answer as it should.
+    NoNodeAddress,
+    /// A call to the key-value service failed.
     KeyValue(CallError),
-    /// The key-value service was not reached; nothing was written.
-    Unreached,
-    /// The outcome of a change was not known when the wait for it ended.
-    Open,
-    /// A node did not answer as it should.
+    /// The key-value service could not be reached; nothing was written.
+    KeyValueUnreachable,
+    /// It was still unknown at the timeout whether a change was accepted.
+    OutcomeUnknown,
+    /// A call to a node failed.
     Node {
         /// The address of its operators' port.
         address: SocketAddr,
-        /// What went wrong.
+        /// The error of the call.
         cause: CallError,
     },
-    /// Another revision is in force than was expected.
+    /// The revision in force is not the expected one.
     Conflict {
         /// The expected revision.
         expected: Revision,
         /// The revision in force.
         found: Revision,
     },
-    /// The change was refused for a reason of its own.
+    /// The change was refused for the reason in the text.
     Refused(String),
-    /// No node knows a request.
-    NoRequest(String),
-    /// No node has a name.
-    NoNode(String),
-    /// A revision is not kept any more, or was never accepted.
-    NoRevision(Revision),
-    /// Not all nodes took a revision in time.
-    Late {
+    /// No given node knows the request.
+    RequestNotFound(String),
+    /// No given node has this name.
+    NodeNotFound(String),
+    /// The revision was never accepted or has been removed from the history.
+    RevisionNotFound(Revision),
+    /// Some nodes did not have an accepted revision in force at the timeout.
+    NotInForce {
         /// The revision.
         revision: Revision,
-        /// The addresses of the nodes that have not.
+        /// The addresses of the nodes without it.
         behind: Vec<SocketAddr>,
     },
 }
 
 impl CliError {
     /// Returns the exit status.
-    pub fn status(&self) -> ExitStatus {
+    pub fn exit_status(&self) -> ExitStatus {
         match self {
             CliError::Read { .. } | CliError::Write(_) | CliError::Start(_) | CliError::Tls(_) => {
                 ExitStatus::Failed
             }
-            CliError::Refused(_) | CliError::Late { .. } => ExitStatus::Failed,
+            CliError::Refused(_) | CliError::NotInForce { .. } => ExitStatus::Failed,
             CliError::Invalid(_) => ExitStatus::Invalid,
-            CliError::NoKeyValue | CliError::NoNodes => ExitStatus::Usage,
-            CliError::KeyValue(_) | CliError::Node { .. } | CliError::Unreached => {
+            CliError::NoKeyValueAddress | CliError::NoNodeAddress => ExitStatus::Usage,
+            CliError::KeyValue(_) | CliError::Node { .. } | CliError::KeyValueUnreachable => {
                 ExitStatus::Unreachable
             }
-            CliError::Open => ExitStatus::Unknown,
+            CliError::OutcomeUnknown => ExitStatus::Unknown,
             CliError::Conflict { .. } => ExitStatus::Conflict,
-            CliError::NoRequest(_) | CliError::NoNode(_) | CliError::NoRevision(_) => {
-                ExitStatus::NotFound
-            }
+            CliError::RequestNotFound(_)
+            | CliError::NodeNotFound(_)
+            | CliError::RevisionNotFound(_) => ExitStatus::NotFound,
         }
     }
 
-    /// Returns what the operator can do next.
+    /// Returns a suggestion of what to do next.
     pub fn next_step(&self) -> String {
         match self {
             CliError::Read { .. } => {
-                "check the path, or write - to read from standard input".into()
+                "check the path, or use `-` to read from standard input".into()
             }
-            CliError::Write(_) => "check where the output goes".into(),
-            CliError::Start(_) => "check the limits of processes and files".into(),
+            CliError::Write(_) => "check the destination of the output".into(),
+            CliError::Start(_) => "check the limits on processes and open files".into(),
             CliError::Tls(_) => "check --certificate, --key and --authority".into(),
             CliError::Invalid(problems) => {
-                format!("mend the {} problem(s) above and run it again", problems.len())
+                format!("fix the {} problem(s) above and run the command again", problems.len())
             }
-            CliError::NoKeyValue => {
+            CliError::NoKeyValueAddress => {
                 "give --key-value ADDRESS, or set BULRUSH_KEY_VALUE in the environment".into()
             }
-            CliError::NoNodes => {
+            CliError::NoNodeAddress => {
                 "give --node ADDRESS for each operators' port, or set BULRUSH_NODES".into()
             }
-            CliError::Open => {
+            CliError::OutcomeUnknown => {
                 "run `bulrush show` later: a newer revision with your text means it was accepted"
                     .into()
             }
-            CliError::KeyValue(_) | CliError::Unreached => {
-                "nodes go on with the configuration in force; try again when the service is back"
+            CliError::KeyValue(_) | CliError::KeyValueUnreachable => {
+                "nodes go on with the configuration in force; retry when the service is available"
                     .into()
             }
             CliError::Node { address, .. } => {
-                format!("check that the node runs and that {address} is its operators' port")
+                format!("check that the node is running and that {address} is its operators' port")
             }
             CliError::Conflict { found, .. } => format!(
-                "someone else changed it: look at `bulrush diff FILE`, put their change into your \
-                 file and run it again with --expect-revision {found}"
+                "someone else changed the configuration: run `bulrush diff FILE`, merge their \
+                 change into your file and apply it with --expect-revision {found}"
             ),
-            CliError::Refused(_) => "nothing was changed; mend it and run it again".into(),
-            CliError::NoRequest(_) => {
-                "finished requests are kept for five minutes; give every node with --node".into()
-            }
-            CliError::NoNode(_) => "run `bulrush status` to see the names of the nodes".into(),
-            CliError::NoRevision(_) => "run `bulrush show --history` to see what is kept".into(),
-            CliError::Late { .. } => {
-                "the change is accepted and stays so; run `bulrush status` to see who is behind"
+            CliError::Refused(_) => "nothing was changed; fix the configuration and retry".into(),
+            CliError::RequestNotFound(_) => {
+                "finished requests are kept for five minutes; give --node for every node".into()
+            }
+            CliError::NodeNotFound(_) => "run `bulrush status` to list the nodes".into(),
+            CliError::RevisionNotFound(_) => "run `bulrush show --history` for a list".into(),
+            CliError::NotInForce { .. } => {
+                "the change stays accepted; run `bulrush status` to see the revision of each node"
                     .into()
             }
         }
@@ -138,32 +138,32 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CliError::Read { file, cause } => {
-                write!(f, "{} could not be read: {cause}", file.display())
+                write!(f, "could not read {}: {cause}", file.display())
             }
-            CliError::Write(cause) => write!(f, "the result could not be written: {cause}"),
-            CliError::Start(cause) => write!(f, "the runtime could not be started: {cause}"),
+            CliError::Write(cause) => write!(f, "could not write the output: {cause}"),
+            CliError::Start(cause) => write!(f, "could not start the runtime: {cause}"),
             CliError::Tls(cause) => write!(f, "{cause}"),
             CliError::Invalid(problems) => {
                 for problem in problems {
                     writeln!(f, "{problem}")?;
                 }
-                write!(f, "the text has {} problem(s)", problems.len())
-            }
-            CliError::NoKeyValue => f.write_str("no address of the key-value service was given"),
-            CliError::NoNodes => f.write_str("no node was given"),
-            CliError::KeyValue(cause) => write!(f, "the key-value service: {cause}"),
-            CliError::Unreached => f.write_str("the key-value service was not reached"),
-            CliError::Open => f.write_str("the change may or may not have been accepted"),
-            CliError::Node { address, cause } => write!(f, "the node at {address}: {cause}"),
+                write!(f, "found {} problem(s)", problems.len())
+            }
+            CliError::NoKeyValueAddress => f.write_str("no key-value service address given"),
+            CliError::NoNodeAddress => f.write_str("no node address given"),
+            CliError::KeyValue(cause) => write!(f, "call to the key-value service failed: {cause}"),
+            CliError::KeyValueUnreachable => f.write_str("the key-value service is unreachable"),
+            CliError::OutcomeUnknown => f.write_str("the change may or may not have been accepted"),
+            CliError::Node { address, cause } => write!(f, "node {address}: {cause}"),
             CliError::Conflict { expected, found } => {
-                write!(f, "revision {found} is in force and not {expected}; nothing was changed")
+                write!(f, "expected revision {expected}, found {found}; nothing was changed")
             }
             CliError::Refused(why) => write!(f, "the change was refused: {why}"),
-            CliError::NoRequest(id) => write!(f, "no node knows the request {id}"),
-            CliError::NoNode(name) => write!(f, "no node has the name {name}"),
-            CliError::NoRevision(revision) => write!(f, "revision {revision} is not to be had"),
-            CliError::Late { revision, behind } => {
-                write!(f, "revision {revision} is not in force yet at")?;
+            CliError::RequestNotFound(id) => write!(f, "no node knows request {id}"),
+            CliError::NodeNotFound(name) => write!(f, "no node is named {name}"),
+            CliError::RevisionNotFound(revision) => write!(f, "revision {revision} is not stored"),
+            CliError::NotInForce { revision, behind } => {
+                write!(f, "revision {revision} is not yet in force at")?;
                 for address in behind {
                     write!(f, " {address}")?;
                 }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -2,31 +2,31 @@
 
 use std::process::ExitCode;
 
-/// An `ExitStatus` tells a calling program how a command ended; a number never changes its meaning.
+/// An `ExitStatus` is the outcome of a command for the calling program; codes are never reassigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExitStatus {
-    /// The command did what it was asked for.
+    /// The command succeeded.
     Done,
-    /// Something failed that none of the other codes tells.
+    /// The command failed for a reason that has no code of its own.
     Failed,
-    /// The arguments were not understood.
+    /// The arguments are invalid.
     Usage,
     /// The configuration or settings have problems.
     Invalid,
-    /// The revision in force is another one than expected; nothing was changed.
+    /// The revision in force is not the expected one; nothing was changed.
     Conflict,
     /// A service or node could not be reached; nothing was changed.
     Unreachable,
-    /// A change may or may not have been made.
+    /// The outcome of a change is unknown: it may or may not have been made.
     Unknown,
-    /// What was asked for does not exist.
+    /// The request, node or revision does not exist.
     NotFound,
     /// The compared configurations differ.
     Different,
 }
 
 impl ExitStatus {
-    /// Every status with its meaning, in the order of the codes.
+    /// All statuses with the meanings that the help prints, ordered by code.
     pub const ALL: [(ExitStatus, &'static str); 9] = [
         (ExitStatus::Done, "done"),
         (ExitStatus::Failed, "failed for a reason that no other code tells"),
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! `bulrush load`: open-loop load against entries on this machine.
+//! `bulrush load`: sends open-loop load to entries on this machine and compares reports.
 
 use std::{
     fmt, fs,
@@ -15,7 +15,7 @@
 };
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-/// A `LoadError` tells why no report could be given.
+/// A `LoadError` is the reason why there is no report.
 #[derive(Debug)]
 enum LoadError {
     Plan(PlanError),
@@ -30,9 +30,9 @@
             LoadError::Plan(error) => write!(f, "{error}"),
             LoadError::File(path, error) => write!(f, "{}: {error}", path.display()),
             LoadError::Report(path, error) => {
-                write!(f, "{} is not a report: {error}", path.display())
+                write!(f, "{} is not a load report: {error}", path.display())
             }
-            LoadError::Runtime(error) => write!(f, "the runtime could not be started: {error}"),
+            LoadError::Runtime(error) => write!(f, "could not start the runtime: {error}"),
         }
     }
 }
@@ -42,45 +42,56 @@
 /// Returns the description of the command's arguments.
 pub fn command() -> Command {
     Command::new("load")
-        .about("Sends open-loop load to entries on this machine and reports what callers saw")
+        .about("Sends open-loop load to entries on this machine and reports latencies and outcomes")
         .arg(
             Arg::new("entry")
-                .help("An entry address, such as 127.0.0.1:8080; may be given several times")
+                .help("The address of an entry, such as 127.0.0.1:8080; may be repeated")
                 .value_parser(value_parser!(SocketAddr))
                 .action(ArgAction::Append)
                 .required_unless_present("compare"),
         )
-        .arg(option("mix", "guild or newsroom").value_parser(value_parser!(Mix)))
-        .arg(option("rate", "Arrivals in a second").value_parser(value_parser!(f64)))
-        .arg(option("seconds", "How long requests arrive").value_parser(value_parser!(u64)))
         .arg(
-            option("warm-up", "Seconds at the start that are left out of the figures")
+            option("mix", "The mix of requests: guild or newsroom")
+                .value_parser(value_parser!(Mix)),
+        )
+        .arg(option("rate", "Arrivals per second").value_parser(value_parser!(f64)))
+        .arg(
+            option("seconds", "Duration of the arrivals, in seconds")
+                .value_parser(value_parser!(u64)),
+        )
+        .arg(
+            option("warm-up", "Seconds at the start that are excluded from the report")
                 .value_parser(value_parser!(u64)),
         )
-        .arg(option("requests", "The most requests").value_parser(value_parser!(usize)))
-        .arg(option("seed", "The seed of arrivals").value_parser(value_parser!(u64)))
-        .arg(option("model", "The model that is asked"))
-        .arg(option("service", "The plain service that is called"))
+        .arg(option("requests", "Maximum number of requests").value_parser(value_parser!(usize)))
+        .arg(option("seed", "Seed of the arrivals").value_parser(value_parser!(u64)))
+        .arg(option("model", "The model to request"))
+        .arg(option("service", "The plain service to call"))
+        .arg(option("team", "A team of the callers; may be repeated").action(ArgAction::Append))
+        .arg(option("out", "File to write the report to, as JSON"))
+        .arg(option(
+            "trace",
+            "File to write the record of each request to, one JSON object per line",
+        ))
         .arg(
-            option("team", "A team that callers belong to; may be given several times")
-                .action(ArgAction::Append),
+            Arg::new("json")
+                .long("json")
+                .help("Print JSON instead of human-readable text")
+                .action(ArgAction::SetTrue),
         )
-        .arg(option("out", "Writes the report as JSON to a file"))
-        .arg(option("trace", "Writes what each caller saw to a file, one JSON object a line"))
-        .arg(Arg::new("json").long("json").help("Prints JSON").action(ArgAction::SetTrue))
         .arg(
             Arg::new("compare")
                 .long("compare")
-                .help("Compares two report files; the exit code is 1 when the second is worse")
+                .help("Compare two report files; the exit code is 1 if the second is worse")
                 .num_args(2)
                 .value_names(["BEFORE", "AFTER"])
                 .value_parser(value_parser!(PathBuf)),
         )
 }
 
-/// Runs the command; the exit code is 1 for a regression, 2 when there is no report.
+/// Runs the command; the exit code is 1 for a regression and 2 if there is no report or comparison.
 pub fn run_command(args: &ArgMatches) -> ExitCode {
-    match carry_out(args) {
+    match execute(args) {
         Ok(code) => code,
         Err(error) => {
             let _ = writeln!(io::stderr(), "{error}");
@@ -93,7 +104,7 @@
     Arg::new(name).long(name).help(help)
 }
 
-fn carry_out(args: &ArgMatches) -> Result<ExitCode, LoadError> {
+fn execute(args: &ArgMatches) -> Result<ExitCode, LoadError> {
     if let Some(files) = args.get_many::<PathBuf>("compare") {
         return compare_files(&files.cloned().collect::<Vec<PathBuf>>());
     }
@@ -106,7 +117,7 @@
         write_file(path, &json)?;
     }
     if let Some(path) = args.get_one::<String>("trace") {
-        write_file(path, &trace(&report.records))?;
+        write_file(path, &trace_lines(&report.records))?;
     }
     let text = if args.get_flag("json") { json } else { report.to_string() };
     let _ = writeln!(io::stdout(), "{text}");
@@ -115,11 +126,11 @@
 
 fn plan(args: &ArgMatches) -> Plan {
     let default = Plan::default();
-    let seconds = |name: &str, otherwise: Duration| {
-        args.get_one::<u64>(name).map_or(otherwise, |seconds| Duration::from_secs(*seconds))
+    let seconds = |name: &str, fallback: Duration| {
+        args.get_one::<u64>(name).map_or(fallback, |seconds| Duration::from_secs(*seconds))
     };
     let text =
-        |name: &str, otherwise: String| args.get_one::<String>(name).cloned().unwrap_or(otherwise);
+        |name: &str, fallback: String| args.get_one::<String>(name).cloned().unwrap_or(fallback);
     let teams = args.get_many::<String>("team").map(|teams| teams.cloned().collect());
     Plan {
         mix: args.get_one("mix").copied().unwrap_or(default.mix),
@@ -135,7 +146,7 @@
     }
 }
 
-fn trace(records: &[Record]) -> String {
+fn trace_lines(records: &[Record]) -> String {
     let mut text = String::new();
     for record in records {
         text.push_str(&serde_json::to_string(record).unwrap_or_default());
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operator's and newcomer's command-line tool.
+//! The `bulrush` command-line tool: operators' commands, a demo and a load generator.
 
 mod chain;
 mod changes;
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! How results are printed: tables for people, JSON for programs.
+//! Output of commands: human-readable text or JSON.
 
 use std::io::{self, Write};
 
@@ -8,23 +8,23 @@
 
 use crate::error::CliError;
 
-/// A `Format` tells for whom results are printed.
+/// A `Format` is the format of a command's output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     Human,
-    /// For programs, as one JSON object.
+    /// One JSON value on one line.
     Json,
 }
 
-/// An `Output` prints the results of a command.
+/// An `Output` prints the result or error of a command.
 pub struct Output {
-    /// For whom results are printed.
+    /// The format of the output.
     pub format: Format,
 }
 
 impl Output {
-    /// Prints a value as JSON to programs, and the text to people.
+    /// Prints `value` as JSON or `text`, depending on the format.
     pub fn print(&self, value: &impl Serialize, text: &str) -> Result<(), CliError> {
         let mut out = io::stdout().lock();
         let written = match self.format {
@@ -38,32 +38,32 @@
         written.map_err(CliError::Write)
     }
 
-    /// Prints a failure with what to do next.
-    pub fn fail(&self, error: &CliError) {
+    /// Prints an error and the suggested next step to standard error.
+    pub fn print_error(&self, error: &CliError) {
         let mut out = io::stderr().lock();
-        let next = error.next_step();
-        // Where not even this can be written, the exit code still tells.
+        let next_step = error.next_step();
+        // If standard error can't be written either, the exit code still reports the failure.
         let _ = match self.format {
             Format::Json => {
                 let problems = match error {
                     CliError::Invalid(problems) => problems.as_slice(),
                     _ => &[],
                 };
-                let code = error.status().code();
+                let code = error.exit_status().code();
                 let value = json!({
                     "error": error.to_string(),
-                    "next": next,
+                    "next": next_step,
                     "exit_code": code,
                     "problems": problems,
                 });
                 writeln!(out, "{value}")
             }
-            Format::Human => writeln!(out, "error: {error}\nnext: {next}"),
+            Format::Human => writeln!(out, "error: {error}\nnext: {next_step}"),
         };
     }
 }
 
-/// Returns a table as text.
+/// Returns a plain-text table.
 pub fn table(header: &[&str], rows: impl IntoIterator<Item = Vec<String>>) -> String {
     let mut table = Table::new();
     table.load_style(TableStyle::new());
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -1,4 +1,4 @@
-//! The key-value service and the nodes' operators' ports, as commands reach them.
+//! Clients of the key-value service and of the nodes' operators' ports, and their arguments.
 
 use std::{net::SocketAddr, path::PathBuf, sync::Arc, time::Duration};
 
@@ -15,40 +15,40 @@
 
 use crate::error::CliError;
 
-/// The longest time until a node answers.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// The largest answer of a node, in bytes.
-const ANSWER_LIMIT: usize = 4 << 20;
+/// The timeout for a node's response headers, and again for its body.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The maximum size of a node's response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Returns the argument that names the key-value service.
+/// Returns the argument for the address of the key-value service.
 pub fn key_value_arg() -> Arg {
     Arg::new("key-value")
         .long("key-value")
         .value_name("ADDRESS")
         .env("BULRUSH_KEY_VALUE")
-        .help("The platform's key-value service")
+        .help("The address of the platform's key-value service")
         .value_parser(value_parser!(SocketAddr))
 }
 
-/// Returns the argument that names nodes.
+/// Returns the argument for the addresses of nodes.
 pub fn nodes_arg() -> Arg {
     Arg::new("node")
         .long("node")
         .value_name("ADDRESS")
         .env("BULRUSH_NODES")
-        .help("The operators' port of a node; may stand several times")
+        .help("The operators' port of a node; may be repeated")
         .action(ArgAction::Append)
         .value_delimiter(',')
         .value_parser(value_parser!(SocketAddr))
 }
 
-/// Returns the key-value service that the arguments name.
+/// Returns a client of the key-value service that the arguments name.
 pub fn key_value(args: &ArgMatches) -> Result<Arc<dyn KeyValue>, CliError> {
-    let address = args.get_one::<SocketAddr>("key-value").ok_or(CliError::NoKeyValue)?;
+    let address = args.get_one::<SocketAddr>("key-value").ok_or(CliError::NoKeyValueAddress)?;
     Ok(Arc::new(HttpKeyValue::new(Endpoint::new(*address, EndpointOptions::default()))))
 }
 
-/// Returns the arguments that name the files for TLS.
+/// Returns the arguments for the TLS files.
 pub fn tls_args() -> [Arg; 3] {
     let file = |name: &'static str, variable: &'static str, help: &'static str| {
         Arg::new(name)
@@ -59,12 +59,12 @@
             .value_parser(value_parser!(PathBuf))
     };
     [
-        file("certificate", "BULRUSH_CERTIFICATE", "The operator's certificate, in PEM")
+        file("certificate", "BULRUSH_CERTIFICATE", "The operator's certificate, in PEM format")
             .requires("key")
             .requires("authority"),
-        file("key", "BULRUSH_KEY", "The key of the operator's certificate, in PEM")
+        file("key", "BULRUSH_KEY", "The private key of the operator's certificate, in PEM format")
             .requires("certificate"),
-        file("authority", "BULRUSH_AUTHORITY", "The authority that signed the nodes, in PEM")
+        file("authority", "BULRUSH_AUTHORITY", "The nodes' CA certificate, in PEM format")
             .requires("certificate"),
     ]
 }
@@ -77,8 +77,8 @@
 }
 
 impl Nodes {
-    /// Returns the nodes that the arguments name, maybe none.
-    pub fn named(args: &ArgMatches) -> Result<Nodes, CliError> {
+    /// Returns the nodes that the arguments name, possibly none.
+    pub fn optional(args: &ArgMatches) -> Result<Nodes, CliError> {
         let addresses = args.get_many("node").map(|nodes| nodes.copied().collect());
         let file = |name: &str| args.get_one::<PathBuf>(name).cloned();
         let files = (file("certificate"), file("key"), file("authority"));
@@ -92,40 +92,40 @@
         Ok(Nodes { addresses: addresses.unwrap_or_default(), tls })
     }
 
-    /// Returns the nodes that the arguments name, at least one.
+    /// Returns the nodes that the arguments name, or an error if there are none.
     pub fn required(args: &ArgMatches) -> Result<Nodes, CliError> {
-        let nodes = Nodes::named(args)?;
-        if nodes.addresses.is_empty() { Err(CliError::NoNodes) } else { Ok(nodes) }
+        let nodes = Nodes::optional(args)?;
+        if nodes.addresses.is_empty() { Err(CliError::NoNodeAddress) } else { Ok(nodes) }
     }
 
-    /// Asks the operators' port of a node.
-    pub async fn ask<T: DeserializeOwned>(
+    /// Calls the operators' port of a node and parses the JSON response.
+    pub async fn call<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         method: Method,
         path: &str,
     ) -> Result<T, CallError> {
         let tls = self.tls.clone();
-        ask(address, tls, method, path).await
+        call(address, tls, method, path).await
     }
 }
 
-async fn ask<T: DeserializeOwned>(
+async fn call<T: DeserializeOwned>(
     address: SocketAddr,
     tls: Option<Arc<Tls>>,
     method: Method,
     path: &str,
 ) -> Result<T, CallError> {
     let options =
-        EndpointOptions { response_timeout: ANSWER_TIMEOUT, tls, ..EndpointOptions::default() };
+        EndpointOptions { response_timeout: RESPONSE_TIMEOUT, tls, ..EndpointOptions::default() };
     let malformed = || CallError::not_done(CallFault::Malformed);
     let req = Request::builder().method(method).uri(path).body(Full::new(Bytes::new()));
-    let answer = Endpoint::new(address, options).send(req.map_err(|_| malformed())?).await?;
-    let status = answer.status();
+    let response = Endpoint::new(address, options).send(req.map_err(|_| malformed())?).await?;
+    let status = response.status();
     if status != StatusCode::OK && status != StatusCode::ACCEPTED {
         return Err(CallError::not_done(CallFault::Refused { status: status.as_u16() }));
     }
-    let body = read_limited(answer.into_body(), ANSWER_LIMIT, ANSWER_TIMEOUT).await;
+    let body = read_limited(response.into_body(), MAX_RESPONSE_BYTES, RESPONSE_TIMEOUT).await;
     let body = body.map_err(|_| CallError::unknown(CallFault::Closed))?;
     serde_json::from_slice(&body).map_err(|_| malformed())
 }
