--- a/crates/cli/src/demo/error.rs
+++ b/crates/cli/src/demo/error.rs
@@ -1,29 +1,29 @@
-//! Why the demo could not be run.
+//! The errors of the demo.
 
 use std::{error, fmt, io};
 
 use bulrushhall_bench::{TestbedError, load::PlanError};
 
-/// A `DemoError` tells which part of the demo failed.
+/// A `DemoError` is the reason why the demo could not run.
 #[derive(Debug)]
 pub enum DemoError {
     /// The deployment could not be started.
     Testbed(TestbedError),
     /// The load could not be sent.
     Load(PlanError),
-    /// Something could not be read or written.
+    /// An I/O operation failed.
     Io(io::Error),
-    /// A task of the demo ended early.
+    /// A task of the demo panicked or was cancelled.
     Task,
 }
 
 impl fmt::Display for DemoError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DemoError::Testbed(error) => write!(f, "the deployment could not be started: {error}"),
-            DemoError::Load(error) => write!(f, "the load could not be sent: {error}"),
+            DemoError::Testbed(error) => write!(f, "could not start the deployment: {error}"),
+            DemoError::Load(error) => write!(f, "could not send the load: {error}"),
             DemoError::Io(error) => write!(f, "{error}"),
-            DemoError::Task => f.write_str("a task of the demo ended early"),
+            DemoError::Task => f.write_str("a task of the demo panicked or was cancelled"),
         }
     }
 }
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! `bulrush demo`: a whole deployment with stand-ins in one process.
+//! `bulrush demo`: runs a whole deployment with stand-ins in one process.
 
 mod error;
 mod options;
@@ -21,26 +21,26 @@
     exit::ExitStatus,
 };
 
-/// Runs the demo; it fails when a promise was broken.
+/// Runs the demo; the exit code reports a failure if a promise was broken.
 pub fn run(args: &ArgMatches) -> ExitCode {
     let options = DemoOptions::from(args);
-    match start(&options) {
+    match execute(&options) {
         Ok(status) => status.into(),
         Err(error) => {
-            // Where not even this can be written, the exit code still tells.
+            // If standard error can't be written either, the exit code still reports the failure.
             let _ = writeln!(io::stderr(), "{error}");
             ExitStatus::Failed.into()
         }
     }
 }
 
-fn start(options: &DemoOptions) -> Result<ExitStatus, DemoError> {
+fn execute(options: &DemoOptions) -> Result<ExitStatus, DemoError> {
     let runtime = tokio::runtime::Runtime::new()?;
     if options.serve {
         runtime.block_on(serve::serve(options))?;
         return Ok(ExitStatus::Done);
     }
-    let outcome = runtime.block_on(show::show(options))?;
+    let outcome = runtime.block_on(show::run_with_faults(options))?;
     outcome.print(options)?;
     Ok(if outcome.violations.is_empty() { ExitStatus::Done } else { ExitStatus::Failed })
 }
--- a/crates/cli/src/demo/options.rs
+++ b/crates/cli/src/demo/options.rs
@@ -5,63 +5,63 @@
 use bulrushhall_bench::TestbedOptions;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-/// The nodes of the demo.
+/// The number of nodes.
 const NODES: usize = 5;
-/// The engines of the demo, three in each of the four availability zones.
+/// The number of engines, three in each of the four availability zones.
 const ENGINES: usize = 12;
-/// The backend servers of the plain service.
+/// The number of backend servers of the plain service.
 const SERVICES: usize = 4;
-/// How long the demo sends requests unless told otherwise.
-const SECONDS: u64 = 30;
-/// The shortest demo: two reclaims and a planned stop must fit in.
-const SECONDS_MIN: u64 = 15;
+/// The default duration of the load, in seconds.
+const DEFAULT_SECONDS: u64 = 30;
+/// The minimum duration of the load, in seconds: two reclaims and a planned stop must fit in.
+const MIN_SECONDS: u64 = 15;
 
-/// `DemoOptions` tell what the demo does.
+/// `DemoOptions` are the parsed arguments of the demo.
 #[derive(Clone, Debug)]
 pub struct DemoOptions {
     /// The seed of the load.
     pub seed: u64,
-    /// How long requests are sent, or how long the deployment stays up.
+    /// The duration of the load, or the time that a served deployment stays up.
     pub length: Option<Duration>,
-    /// Whether the result is one JSON object.
+    /// Whether to print the result as one JSON object.
     pub json: bool,
-    /// Whether the deployment only stays up for others to use.
+    /// Whether to keep the deployment up for use by others, without load or faults of the demo.
     pub serve: bool,
 }
 
 /// Returns the description of the command's arguments.
 pub fn command() -> Command {
     Command::new("demo")
-        .about("Runs a deployment with stand-ins in one process, through reclaims of two zones")
+        .about("Runs a deployment with stand-ins in one process while two zones are reclaimed")
         .arg(
             Arg::new("json")
                 .long("json")
-                .help("Prints the result as one JSON object in the last line")
+                .help("Print the result as one JSON object in the last line")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("seed")
                 .long("seed")
-                .help("The seed of arrivals and texts")
+                .help("Seed of the arrivals and texts")
                 .value_parser(value_parser!(u64))
                 .default_value("1"),
         )
         .arg(
             Arg::new("seconds")
                 .long("seconds")
-                .help("How long requests are sent, or how long --serve stays up")
+                .help("Duration of the load, or the time that --serve stays up")
                 .value_parser(value_parser!(u64).range(1..=3_600)),
         )
         .arg(
             Arg::new("serve")
                 .long("serve")
-                .help("Stays up until SIGINT and prints the addresses in one line `ready {json}`")
+                .help("Stay up until SIGINT and print the addresses in one line, `ready {json}`")
                 .action(ArgAction::SetTrue),
         )
 }
 
 impl DemoOptions {
-    /// Returns the size of the deployment.
+    /// Returns the options of the deployment.
     pub fn testbed(&self) -> TestbedOptions {
         TestbedOptions {
             nodes: NODES,
@@ -71,10 +71,10 @@
         }
     }
 
-    /// Returns how long requests are sent.
+    /// Returns the duration of the load.
     pub fn load_length(&self) -> Duration {
-        let shortest = Duration::from_secs(SECONDS_MIN);
-        self.length.unwrap_or(Duration::from_secs(SECONDS)).max(shortest)
+        let minimum = Duration::from_secs(MIN_SECONDS);
+        self.length.unwrap_or(Duration::from_secs(DEFAULT_SECONDS)).max(minimum)
     }
 }
 
--- a/crates/cli/src/demo/outcome.rs
+++ b/crates/cli/src/demo/outcome.rs
@@ -1,4 +1,4 @@
-//! What the demo yielded, from what callers and stand-ins saw.
+//! The result of the demo, from the records of callers and stand-ins.
 
 use std::{
     collections::BTreeMap,
@@ -8,14 +8,14 @@
 use bulrushhall_bench::{
     Testbed,
     check::Violation,
-    load::{Kind, Outcome as Ended, Report, Summary},
+    load::{Kind, Outcome as RequestOutcome, Report, Summary},
 };
 use comfy_table::Table;
 use serde::Serialize;
 
 use crate::demo::options::DemoOptions;
 
-/// An `Outcome` is what the demo yielded.
+/// An `Outcome` is the result of a demo run; its field names are the keys of the JSON output.
 #[derive(Serialize)]
 pub struct Outcome {
     seed: u64,
@@ -36,17 +36,17 @@
 }
 
 impl Outcome {
-    /// Returns the outcome of a run that has ended.
+    /// Returns the outcome of a finished run.
     pub fn new(testbed: &Testbed, report: Report, violations: Vec<Violation>) -> Outcome {
         let engines = testbed.machines.engine_counts();
         let kv = testbed.kv.counts();
         let finished: u64 = report.summaries.values().map(|summary| summary.finished).sum();
-        // The cloud counts in thousandths of a cent.
+        // The cloud reports costs in thousandths of a cent.
         let spent_cents = testbed.cloud.spent() / 1e3;
-        let broken = violations
+        let promises = violations
             .iter()
-            .map(|found| format!("{:?}: {}: {}", found.broken, found.subject, found.seen));
-        let not_finished = not_finished(&report);
+            .map(|item| format!("{:?}: {}: {}", item.broken, item.subject, item.seen));
+        let not_finished = count_unfinished(&report);
         Outcome {
             not_finished,
             seed: report.seed,
@@ -58,13 +58,13 @@
             moved_bytes: engines.exported_bytes,
             orders_run_more_than_once: testbed.ledger.doubled(),
             key_value_calls: kv.reads + kv.writes + kv.leases + kv.watches,
-            broken_promises: broken.collect(),
+            broken_promises: promises.collect(),
             classes: report.summaries,
             violations,
         }
     }
 
-    /// Prints the outcome as the arguments ask for.
+    /// Prints the outcome in the format that the arguments select.
     pub fn print(&self, options: &DemoOptions) -> io::Result<()> {
         let mut out = io::stdout().lock();
         if options.json {
@@ -73,11 +73,11 @@
         writeln!(out, "{}", self.table())?;
         writeln!(
             out,
-            "seed {}, {:.1} s, two zones taken back in overlap",
+            "seed {}, {:.1} s, two zones reclaimed with overlapping notices",
             self.seed, self.seconds
         )?;
-        for (what, count) in &self.not_finished {
-            writeln!(out, "not finished: {count} {what}")?;
+        for (reason, count) in &self.not_finished {
+            writeln!(out, "not finished: {count} {reason}")?;
         }
         writeln!(
             out,
@@ -86,13 +86,13 @@
         )?;
         writeln!(
             out,
-            "tokens: {} computed, {} of them a second time; {} bytes of KV cache moved",
+            "tokens: {} computed, {} of them recomputed; {} bytes of KV cache transferred",
             self.computed_tokens, self.recomputed_tokens, self.moved_bytes
         )?;
         writeln!(out, "orders run more than once: {}", self.orders_run_more_than_once)?;
-        writeln!(out, "calls of the key-value service: {}", self.key_value_calls)?;
-        for broken in &self.broken_promises {
-            writeln!(out, "broken promise: {broken}")?;
+        writeln!(out, "calls to the key-value service: {}", self.key_value_calls)?;
+        for promise in &self.broken_promises {
+            writeln!(out, "broken promise: {promise}")?;
         }
         if self.broken_promises.is_empty() {
             writeln!(out, "no promise was broken")?;
@@ -132,14 +132,15 @@
     }
 }
 
-// How requests that did not finish were answered last: their kind, code and whether they ran.
-fn not_finished(report: &Report) -> BTreeMap<String, u64> {
+// Counts the unfinished requests by kind, code of the last response and whether they ran.
+fn count_unfinished(report: &Report) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
-    for record in report.records.iter().filter(|record| record.outcome != Ended::Finished) {
+    for record in report.records.iter().filter(|record| record.outcome != RequestOutcome::Finished)
+    {
         let kind = format!("{:?}", record.kind).to_lowercase();
         let code = record.code.as_deref().unwrap_or("no answer");
-        let what = format!("{kind}: {code}, ran: {}", record.ran.as_str());
-        *counts.entry(what).or_default() += 1;
+        let reason = format!("{kind}: {code}, ran: {}", record.ran.as_str());
+        *counts.entry(reason).or_default() += 1;
     }
     counts
 }
--- a/crates/cli/src/demo/sampler.rs
+++ b/crates/cli/src/demo/sampler.rs
@@ -1,4 +1,4 @@
-//! What operators can see of a deployment while the demo runs, sampled several times a second.
+//! Sampling of a running deployment: the revisions in force and the work of reclaimed VMs.
 
 use std::{
     collections::BTreeMap,
@@ -14,8 +14,8 @@
 use bulrushhall_core::{Revision, VmName};
 use tokio::time::sleep;
 
-/// The pause between two samples.
-const PAUSE: Duration = Duration::from_millis(200);
+/// The interval between samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A `Sampler` collects samples for the checks.
 pub struct Sampler {
@@ -25,53 +25,53 @@
 
 #[derive(Default)]
 struct State {
-    noticed: BTreeMap<VmName, Duration>,
+    notices: BTreeMap<VmName, Duration>,
     accepted: Vec<(Revision, Duration)>,
     observations: Vec<Observation>,
     work: Vec<WorkSample>,
 }
 
-/// `Samples` are all that a sampler collected.
+/// `Samples` are the data that a sampler collected; times count from its creation.
 #[derive(Clone, Debug, Default)]
 pub struct Samples {
-    /// When each configuration was accepted.
+    /// The revisions that were accepted, each with its time.
     pub accepted: Vec<(Revision, Duration)>,
-    /// The revisions that nodes had in force.
+    /// The revisions that nodes had in force at each sample.
     pub observations: Vec<Observation>,
-    /// The work that engines on leaving VMs were given.
+    /// The requests that engines on VMs with a reclaim notice had been given at each sample.
     pub work: Vec<WorkSample>,
 }
 
 impl Sampler {
-    /// Returns a sampler whose run starts now.
+    /// Returns a sampler whose clock starts now.
     pub fn new() -> Sampler {
         Sampler { started: Instant::now(), state: Mutex::default() }
     }
 
-    /// Notes VMs whose reclaim was announced now.
-    pub fn noticed(&self, vms: &[VmName]) {
+    /// Records that the reclaim of these VMs was announced now.
+    pub fn record_notices(&self, vms: &[VmName]) {
         let now = self.started.elapsed();
         let mut state = self.lock();
         for vm in vms {
-            state.noticed.entry(vm.clone()).or_insert(now);
+            state.notices.entry(vm.clone()).or_insert(now);
         }
     }
 
-    /// Notes a configuration that was accepted now.
-    pub fn accepted(&self, revision: Revision) {
+    /// Records that a revision was accepted now.
+    pub fn record_accepted(&self, revision: Revision) {
         let now = self.started.elapsed();
         self.lock().accepted.push((revision, now));
     }
 
-    /// Takes samples for as long as it is polled.
+    /// Takes samples until the future is dropped.
     pub async fn run(&self, testbed: &Arc<Testbed>) {
         loop {
             self.sample(testbed);
-            sleep(PAUSE).await;
+            sleep(SAMPLE_INTERVAL).await;
         }
     }
 
-    /// Returns what was collected.
+    /// Returns the collected samples and clears them.
     pub fn finish(&self) -> Samples {
         let mut state = self.lock();
         let State { accepted, observations, work, .. } = std::mem::take(&mut *state);
@@ -83,15 +83,15 @@
         let mut state = self.lock();
         for node in testbed.machines.nodes() {
             let revision = node.context().in_force().revision;
-            // A node that has only just started knows no configuration and names no address yet.
+            // A node that has just started has no configuration and publishes no address yet.
             if revision == Revision(0) {
                 continue;
             }
             let node = node.name().clone();
             state.observations.push(Observation { node, at, revision });
         }
-        let noticed: Vec<_> = state.noticed.iter().map(|(vm, at)| (vm.clone(), *at)).collect();
-        for (vm, since) in noticed {
+        let notices: Vec<_> = state.notices.iter().map(|(vm, at)| (vm.clone(), *at)).collect();
+        for (vm, since) in notices {
             let Some(Machine::Engine(engine)) = testbed.machines.get(&vm) else { continue };
             let given = engine.counts().generates;
             state.work.push(WorkSample { vm, after_notice: at.saturating_sub(since), given });
--- a/crates/cli/src/demo/serve.rs
+++ b/crates/cli/src/demo/serve.rs
@@ -1,4 +1,4 @@
-//! `bulrush demo --serve`: the deployment stays up for others to use.
+//! `bulrush demo --serve`: keeps the deployment up for use by others.
 
 use std::{
     io::{self, Write},
@@ -12,16 +12,16 @@
 
 use crate::demo::{error::DemoError, options::DemoOptions};
 
-/// Starts the deployment, tells its addresses in one line and stays until SIGINT.
+/// Starts the deployment, prints its addresses in one line and runs until SIGINT or the time limit.
 pub async fn serve(options: &DemoOptions) -> Result<(), DemoError> {
     let testbed = Arc::new(Testbed::start(options.testbed()).await?);
     let control = Running::start(Arc::new(ControlPort::new(Arc::clone(&testbed)))).await?;
-    announce(&testbed, &control)?;
+    print_addresses(&testbed, &control)?;
 
-    let stay = options.length.unwrap_or(Duration::MAX);
+    let time_limit = options.length.unwrap_or(Duration::MAX);
     tokio::select! {
         _ = tokio::signal::ctrl_c() => {}
-        () = tokio::time::sleep(stay) => {}
+        () = tokio::time::sleep(time_limit) => {}
     }
     for node in testbed.machines.nodes() {
         node.stop().await;
@@ -29,7 +29,7 @@
     Ok(())
 }
 
-fn announce(testbed: &Testbed, control: &Running) -> io::Result<()> {
+fn print_addresses(testbed: &Testbed, control: &Running) -> io::Result<()> {
     let nodes = testbed.machines.nodes();
     let operators: Vec<_> = nodes.iter().map(|node| node.operators()).collect();
     let ready = json!({
