--- a/crates/cli/tests/demo_run.rs
+++ b/crates/cli/tests/demo_run.rs
@@ -1,4 +1,4 @@
-//! The demo holds its promises through reclaims, and its deployment can be used by others.
+//! The demo breaks no promise during reclaims, and a served deployment can be used by others.
 
 use std::{
     io::{BufRead, BufReader},
@@ -12,19 +12,19 @@
 
 const TOOL: &str = env!("CARGO_BIN_EXE_bulrush");
 
-struct Served {
+struct ServedDemo {
     child: Child,
     ready: Value,
 }
 
-impl Drop for Served {
+impl Drop for ServedDemo {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn serve() -> Served {
+fn serve() -> ServedDemo {
     let mut child = Command::new(TOOL)
         .args(["demo", "--serve", "--seconds", "60"])
         .stdout(Stdio::piped())
@@ -34,17 +34,17 @@
     let out = child.stdout.take().expect("the demo's output");
     let mut line = String::new();
     BufReader::new(out).read_line(&mut line).expect("a line");
-    let ready = line.strip_prefix("ready ").expect("a line that tells the addresses");
-    Served { child, ready: serde_json::from_str(ready).expect("JSON") }
+    let ready = line.strip_prefix("ready ").expect("a line with the addresses");
+    ServedDemo { child, ready: serde_json::from_str(ready).expect("JSON") }
 }
 
 fn address(value: &Value) -> SocketAddr {
     value.as_str().expect("an address").parse().expect("an address")
 }
 
-// Two of four zones are taken back, the second before the first is gone, with nodes, engines and
-// plain services on the VMs. A caller whose request was accepted must see its whole answer, and
-// no order may run twice.
+// Two of four zones are reclaimed, the second before the VMs of the first have ended; the VMs run
+// nodes, engines and plain services. Every caller whose request was accepted must receive its whole
+// response, and no order may run twice.
 #[test]
 fn overlapping_reclaims() {
     let run = Command::new(TOOL)
@@ -79,10 +79,10 @@
     assert_eq!(ready.status, StatusCode::OK);
 }
 
-// Someone who tries the deployment turns a fault switch: an engine's VM is ended without notice.
-// The next questions are answered by the other engines.
+// A VM with an engine is killed without notice through the served deployment's fault port. The
+// remaining engines must answer the requests that follow.
 #[tokio::test(flavor = "multi_thread")]
-async fn turned_switches() {
+async fn killed_engine() {
     let served = serve();
     let faults = Probe::new(address(&served.ready["faults"]));
     let killed = faults.send(Method::POST, "/kill/vm-engine-0", "").await.expect("an answer");
--- a/crates/cli/tests/operator_commands.rs
+++ b/crates/cli/tests/operator_commands.rs
@@ -1,4 +1,4 @@
-//! The operator's commands against nodes and a key-value service that run.
+//! The operators' commands against running nodes and a key-value service.
 
 use std::{
     io::Write,
@@ -27,8 +27,8 @@
 use serde_json::{Value, json};
 use tokio::{net::TcpListener, sync::watch};
 
-const LIMIT: usize = 4 << 20;
-const WAIT: Duration = Duration::from_secs(5);
+const MAX_BODY_BYTES: usize = 4 << 20;
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 struct Operator {
     kv: SocketAddr,
@@ -36,7 +36,7 @@
 }
 
 impl Operator {
-    fn of(testbed: &Testbed) -> Operator {
+    fn for_testbed(testbed: &Testbed) -> Operator {
         let nodes = testbed.nodes.iter().map(|node| node.operators()).collect();
         Operator { kv: testbed.kv.address(), nodes }
     }
@@ -94,9 +94,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn change_everywhere() {
+async fn apply_reaches_all_nodes() {
     let testbed = five_nodes().await;
-    let operator = Operator::of(&testbed);
+    let operator = Operator::for_testbed(&testbed);
     let before = operator.json(&["show"], "")["revision"].as_u64().expect("a revision");
     let changed = with_priority(&testbed.config, 7);
 
@@ -117,20 +117,20 @@
     assert!(table.contains("serving"), "{table}");
 }
 
-// Two operators start from the same revision. The later one would undo the change of the earlier
-// one without either of them noticing.
+// Two operators edit the same revision. Without the check of the expected revision, the second
+// apply would silently undo the change of the first.
 #[tokio::test(flavor = "multi_thread")]
-async fn racing_operators() {
+async fn concurrent_operators() {
     let testbed = five_nodes().await;
-    let operator = Operator::of(&testbed);
+    let operator = Operator::for_testbed(&testbed);
     let before = operator.json(&["show"], "")["revision"].to_string();
     let args = ["apply", "-", "--expect-revision", &before];
     assert_eq!(operator.code(&args, &with_priority(&testbed.config, 7)), Some(0));
 
-    let late = operator.run(&args, &with_priority(&testbed.config, 8));
-    assert_eq!(late.status.code(), Some(4));
-    let told = String::from_utf8(late.stderr).expect("text");
-    assert!(told.contains("next: "), "{told}");
+    let second = operator.run(&args, &with_priority(&testbed.config, 8));
+    assert_eq!(second.status.code(), Some(4));
+    let message = String::from_utf8(second.stderr).expect("text");
+    assert!(message.contains("next: "), "{message}");
     let shown = operator.json(&["show"], "");
     assert!(shown["text"].as_str().is_some_and(|text| text.contains("priority = 7")), "{shown}");
 }
@@ -138,16 +138,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn dry_run_and_diff() {
     let testbed = five_nodes().await;
-    let operator = Operator::of(&testbed);
+    let operator = Operator::for_testbed(&testbed);
     let before = operator.json(&["show"], "")["revision"].clone();
     let changed = with_priority(&testbed.config, 7);
 
-    let told = operator.json(&["apply", "-", "--dry-run"], &changed);
+    let preview = operator.json(&["apply", "-", "--dry-run"], &changed);
     let change = json!({
         "section": "[class patient]", "key": "priority", "before": "5", "after": "7",
     });
-    assert_eq!(told["changes"], json!([change]));
-    assert_eq!(told["applied"], false);
+    assert_eq!(preview["changes"], json!([change]));
+    assert_eq!(preview["applied"], false);
     assert_eq!(operator.json(&["show"], "")["revision"], before);
     assert_eq!(operator.code(&["diff", "-"], &changed), Some(8));
     assert_eq!(operator.code(&["diff", "-"], &testbed.config), Some(0));
@@ -160,38 +160,39 @@
     assert_eq!(operator.code(&["show", "--revision", "99"], ""), Some(7));
 }
 
-// The key-value service is away. An operator who took the failure for a success would wait for a
-// change that never comes; one who took it for an open outcome would not dare to repeat it.
+// During an outage of the key-value service, commands must report that it is unreachable. If they
+// reported success, the operator would wait for a change that never takes effect; if they reported
+// an unknown outcome, the operator would not dare to retry. `status` still shows the nodes.
 #[tokio::test(flavor = "multi_thread")]
-async fn service_away() {
+async fn key_value_outage() {
     let testbed = five_nodes().await;
-    let operator = Operator::of(&testbed);
+    let operator = Operator::for_testbed(&testbed);
     testbed.kv.switches().set(Faults { outage: true, ..Faults::default() });
 
     let shown = operator.run(&["show"], "");
     assert_eq!(shown.status.code(), Some(5), "{shown:?}");
-    let told = String::from_utf8(shown.stderr).expect("text");
-    assert!(told.contains("next: nodes go on"), "{told}");
+    let message = String::from_utf8(shown.stderr).expect("text");
+    assert!(message.contains("next: nodes go on"), "{message}");
     let statuses = operator.json(&["status"], "")["nodes"].take();
     assert_eq!(statuses.as_array().map(Vec::len), Some(5));
     assert!(statuses[0]["status"]["revision"].as_u64().is_some_and(|revision| 0 < revision));
 }
 
-/// A `LosesReplies` passes calls on to the key-value service and answers each write of the newest
-/// revision with 504.
-struct LosesReplies {
+/// A `LostReplies` forwards calls to the key-value service, but responds with 504 to each write of
+/// the newest revision.
+struct LostReplies {
     kv: Endpoint,
 }
 
-impl Handler for LosesReplies {
+impl Handler for LostReplies {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
         Box::pin(async move {
             let (parts, body) = req.into_parts();
             let is_write = parts.method == Method::PUT && parts.uri.path().ends_with(HEAD_KEY);
-            let body = read_limited(body, LIMIT, WAIT).await.expect("a body");
-            let passed_on = self.kv.send(Request::from_parts(parts, Full::new(body))).await;
-            let (mut parts, body) = passed_on.expect("an answer").into_parts();
-            let body = read_limited(body, LIMIT, WAIT).await.expect("a body");
+            let body = read_limited(body, MAX_BODY_BYTES, BODY_TIMEOUT).await.expect("a body");
+            let forwarded = self.kv.send(Request::from_parts(parts, Full::new(body))).await;
+            let (mut parts, body) = forwarded.expect("an answer").into_parts();
+            let body = read_limited(body, MAX_BODY_BYTES, BODY_TIMEOUT).await.expect("a body");
             if is_write {
                 parts.status = StatusCode::GATEWAY_TIMEOUT;
             }
@@ -200,33 +201,34 @@
     }
 }
 
-// The service takes the change and its answers get lost. An operator who is told that nothing was
-// changed would apply it once more; one who is told that it was, would not look.
+// The key-value service accepts the change, but its replies are lost. The outcome must be reported
+// as unknown: told that nothing was changed, the operator would apply it again; told that it was
+// applied, the operator would not check.
 #[tokio::test(flavor = "multi_thread")]
-async fn open_outcome() {
+async fn unknown_outcome() {
     let testbed = five_nodes().await;
     let kv = Endpoint::new(testbed.kv.address(), EndpointOptions::default());
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let between = listener.local_addr().expect("an address");
+    let proxy = listener.local_addr().expect("an address");
     let (_stop, stopped) = watch::channel(false);
-    let handler: Arc<dyn Handler> = Arc::new(LosesReplies { kv });
+    let handler: Arc<dyn Handler> = Arc::new(LostReplies { kv });
     tokio::spawn(serve(listener, handler, ServerOptions::default(), stopped));
 
-    let operator = Operator { kv: between, nodes: Vec::new() };
+    let operator = Operator { kv: proxy, nodes: Vec::new() };
     let before = operator.json(&["show"], "")["revision"].as_u64().expect("a revision");
     let changed = with_priority(&testbed.config, 7);
     let output = operator.run(&["apply", "-", "--give-up-after", "2s"], &changed);
     assert_eq!(output.status.code(), Some(6), "{output:?}");
-    let told = String::from_utf8(output.stderr).expect("text");
-    assert!(told.contains("next: run `bulrush show` later"), "{told}");
+    let message = String::from_utf8(output.stderr).expect("text");
+    assert!(message.contains("next: run `bulrush show` later"), "{message}");
     assert_eq!(operator.json(&["show"], "")["revision"], before + 1);
 }
 
-// The service is away from the beginning, so certainly nothing was changed.
+// The key-value service is down from the start, so the result must be "unreachable", not "unknown".
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_applied() {
+async fn apply_during_outage() {
     let testbed = five_nodes().await;
-    let operator = Operator::of(&testbed);
+    let operator = Operator::for_testbed(&testbed);
     let before = operator.json(&["show"], "")["revision"].clone();
     testbed.kv.switches().set(Faults { outage: true, ..Faults::default() });
     let changed = with_priority(&testbed.config, 7);
@@ -236,9 +238,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn drained_node() {
+async fn drain_node() {
     let testbed = five_nodes().await;
-    let operator = Operator::of(&testbed);
+    let operator = Operator::for_testbed(&testbed);
     let drained = operator.json(&["drain", "entry-2"], "");
     assert_eq!(drained["leaving"], true);
     let statuses = operator.json(&["status"], "")["nodes"].take();
@@ -254,9 +256,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn found_request() {
+async fn find_request() {
     let testbed = five_nodes().await;
-    let operator = Operator::of(&testbed);
+    let operator = Operator::for_testbed(&testbed);
     let body = json!({
         "model": MODEL,
         "messages": [{ "role": "user", "content": "a secret survey" }],
@@ -277,7 +279,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_node_in_status() {
     let testbed = five_nodes().await;
-    let operator = Operator::of(&testbed);
+    let operator = Operator::for_testbed(&testbed);
     let dead: &NodeProcess = &testbed.nodes[4];
     dead.kill();
     let statuses = operator.json(&["status"], "")["nodes"].take();
@@ -289,7 +291,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn duties_and_queues() {
     let testbed = five_nodes().await;
-    let operator = Operator::of(&testbed);
+    let operator = Operator::for_testbed(&testbed);
     let kv = HttpKeyValue::new(Endpoint::new(testbed.kv.address(), EndpointOptions::default()));
     let holder = testbed.nodes[2].context().incarnation.to_string();
     let written = kv.put_if("duty/example/suva-a", Version(0), holder.into(), None).await;
@@ -302,7 +304,7 @@
     let queues = status["nodes"][0]["status"]["queues"].as_array().expect("a list");
     assert!(queues.iter().any(|queue| queue["service"] == SERVICE), "{queues:?}");
 
-    // The service is away: the nodes are still shown.
+    // During an outage of the key-value service the nodes are still shown.
     testbed.kv.switches().set(Faults { outage: true, ..Faults::default() });
     let status = operator.json(&["status"], "");
     assert!(status["duties_error"].is_string(), "{status}");
@@ -325,14 +327,14 @@
 fn problems_as_json() {
     let output = bulrush(&["check", "-", "--json"], "[clas urgent]\n[class a]\npriorty = 1\n", &[]);
     assert_eq!(output.status.code(), Some(3));
-    let told: Value = serde_json::from_slice(&output.stderr).expect("JSON");
-    assert_eq!(told["problems"].as_array().map(Vec::len), Some(2), "{told}");
-    assert_eq!(told["problems"][1]["line"], 3);
-    assert_eq!(told["exit_code"], 3);
+    let error: Value = serde_json::from_slice(&output.stderr).expect("JSON");
+    assert_eq!(error["problems"].as_array().map(Vec::len), Some(2), "{error}");
+    assert_eq!(error["problems"][1]["line"], 3);
+    assert_eq!(error["exit_code"], 3);
 }
 
 #[test]
-fn codes_in_pages() {
+fn exit_codes_in_operations_page() {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs/OPERATIONS.md");
     let page = std::fs::read_to_string(path).expect("the page");
     let help = bulrush(&["--help"], "", &[]);
@@ -341,6 +343,6 @@
     for line in codes.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let (code, meaning) = line.split_once("  ").expect("a code and its meaning");
         let row = format!("| {code} | {meaning} |");
-        assert!(page.contains(&row), "docs/OPERATIONS.md misses {row}");
+        assert!(page.contains(&row), "docs/OPERATIONS.md lacks {row}");
     }
 }
--- a/crates/cli/tests/operator_tls.rs
+++ b/crates/cli/tests/operator_tls.rs
@@ -1,4 +1,4 @@
-//! The operator's commands against nodes whose ports are protected by TLS.
+//! The operators' commands against nodes that require mutual TLS on their operators' ports.
 
 use std::{
     fs,
@@ -11,16 +11,16 @@
 use bulrushhall_external::http::TLS_SERVER_NAME;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
-struct Files {
+struct TlsDirectory {
     directory: PathBuf,
 }
 
-impl Files {
-    fn signed(name: &str) -> Files {
+impl TlsDirectory {
+    fn with_own_authority(name: &str) -> TlsDirectory {
         let process = std::process::id();
         let directory = std::env::temp_dir().join(format!("bulrush-operator-{process}-{name}"));
         fs::create_dir_all(&directory).expect("a directory");
-        let files = Files { directory };
+        let files = TlsDirectory { directory };
         let authority_key = KeyPair::generate().expect("a key");
         let mut params = CertificateParams::new(Vec::new()).expect("parameters");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -40,7 +40,7 @@
     }
 }
 
-impl Drop for Files {
+impl Drop for TlsDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.directory);
     }
@@ -58,8 +58,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn protected_port() {
-    let (files, stranger) = (Files::signed("own"), Files::signed("stranger"));
+async fn mutual_tls() {
+    let (files, foreign) =
+        (TlsDirectory::with_own_authority("own"), TlsDirectory::with_own_authority("foreign"));
     let tls = TlsSettings {
         certificate: Some(files.path("certificate")),
         key: Some(files.path("key")),
@@ -70,12 +71,12 @@
     let testbed = Testbed::start(options).await.expect("a testbed");
     let node = testbed.nodes[0].operators().to_string();
 
-    let plain = bulrush(&["status"], &node, None);
-    assert_eq!(plain.status.code(), Some(5), "{plain:?}");
-    let refused = bulrush(&["status"], &node, Some(&stranger.directory));
-    assert_eq!(refused.status.code(), Some(5), "{refused:?}");
-    let missing = bulrush(&["status"], &node, Some(Path::new("/nonexistent")));
-    assert_eq!(missing.status.code(), Some(1), "{missing:?}");
+    let without_tls = bulrush(&["status"], &node, None);
+    assert_eq!(without_tls.status.code(), Some(5), "{without_tls:?}");
+    let untrusted = bulrush(&["status"], &node, Some(&foreign.directory));
+    assert_eq!(untrusted.status.code(), Some(5), "{untrusted:?}");
+    let missing_files = bulrush(&["status"], &node, Some(Path::new("/nonexistent")));
+    assert_eq!(missing_files.status.code(), Some(1), "{missing_files:?}");
     assert!(!testbed.nodes[0].context().is_leaving());
 
     let shown = bulrush(&["status"], &node, Some(&files.directory));
--- a/crates/cli/tests/page_commands.rs
+++ b/crates/cli/tests/page_commands.rs
@@ -1,4 +1,4 @@
-//! Every command and link on the pages works.
+//! The commands and links on the documentation pages work.
 
 use std::{
     fs,
@@ -19,7 +19,7 @@
     fs::read_to_string(root().join(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
-// The commands stand on lines that are indented by four spaces, outside of fenced blocks.
+// Returns a page's commands: the lines outside fenced blocks that are indented by four spaces.
 fn commands(page: &str) -> Vec<String> {
     let text = read(page);
     let mut commands = Vec::new();
@@ -68,7 +68,7 @@
         }
         let (path, anchor) = target.split_once('#').unwrap_or((target, ""));
         let file = if path.is_empty() { root().join(page) } else { directory.join(path) };
-        assert!(file.exists(), "{page} links {target}");
+        assert!(file.exists(), "{page} links to {target}");
         if anchor.is_empty() {
             continue;
         }
@@ -78,14 +78,14 @@
             let words = line.trim_start_matches('#').trim().to_lowercase();
             words.replace(' ', "-").replace([',', '.', '\''], "")
         });
-        assert!(anchors.any(|known| known == anchor), "{page} links {target}");
+        assert!(anchors.any(|known| known == anchor), "{page} links to {target}");
     }
 }
 
-// The commands of the two main jobs are run by `.ci/run` and by the tests of the tool; building
-// them anew within a test would take minutes.
+// The demo and the workspace's tests are run by `.ci/run`; running them within a test as well would
+// build everything again, which takes minutes.
 #[test]
-fn readme() {
+fn readme_commands() {
     let commands = commands("README.md");
     let expected = [
         "cargo run --release --bin bulrush -- demo",
@@ -102,9 +102,9 @@
     fs::create_dir_all(&directory).expect("a directory");
     let library = root().join("operators/python");
     let library = library.canonicalize().expect("the library").display().to_string();
-    let described = commands[2].replace("operators/python", &library);
-    let checked = commands[3].replace("cargo run --release --bin bulrush --", "bulrush");
-    for command in [described, checked] {
+    let render = commands[2].replace("operators/python", &library);
+    let check = commands[3].replace("cargo run --release --bin bulrush --", "bulrush");
+    for command in [render, check] {
         let environment = [("PYTHONDONTWRITEBYTECODE", "1".to_owned())];
         let output = shell(&command, &directory, &environment);
         assert!(output.status.success(), "{command}: {output:?}");
@@ -112,10 +112,10 @@
     let _ = fs::remove_dir_all(&directory);
 }
 
-// The last part of the page, as a newcomer does it: the demo stays up, a priority is changed in the
-// Python program, applied, and seen at all five nodes.
+// Follows the last part of the README: serves the demo, changes a priority in the Python program,
+// applies the configuration and reads the priority from the status of all five nodes.
 #[test]
-fn changed_priority() {
+fn readme_priority_change() {
     let commands = commands("README.md");
     let serve = commands.iter().position(|command| command.ends_with("demo --serve"));
     let rest = &commands[serve.expect("the command that serves") + 1..];
@@ -136,7 +136,7 @@
     let mut line = String::new();
     let out = demo.stdout.take().expect("the output");
     BufReader::new(out).read_line(&mut line).expect("a line");
-    let ready = line.strip_prefix("ready ").expect("a line that tells the addresses");
+    let ready = line.strip_prefix("ready ").expect("a line with the addresses");
     let ready: Value = serde_json::from_str(ready).expect("JSON");
     let kv = ready["key_value"].as_str().expect("an address").to_owned();
     let operators = ready["operators"].as_array().expect("a list");
@@ -167,10 +167,10 @@
     assert_eq!(serving, 5, "{last}");
 }
 
-// The commands of the page run in its order against nodes that run. What the page has as examples,
-// addresses and ids, is replaced by the real ones.
+// Runs the page's commands in order against running nodes. The page's example revisions, node name
+// and request id are replaced by real ones.
 #[tokio::test(flavor = "multi_thread")]
-async fn operations() {
+async fn operations_page_commands() {
     let options = TestbedOptions { nodes: 2, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("a testbed");
     let directory = std::env::temp_dir().join(format!("bulrush-pages-{}", std::process::id()));
@@ -197,7 +197,7 @@
     let mut revision = 1;
 
     for command in commands("docs/OPERATIONS.md") {
-        // The daemon runs until it is stopped; tests of its own start it as a process.
+        // The daemon would not return; other tests start it as a process.
         if command.starts_with("bulrushd ") || command.starts_with("export ") {
             continue;
         }
@@ -212,6 +212,6 @@
             revision += 1;
         }
     }
-    assert_eq!(revision, 2, "the page applies a configuration");
+    assert_eq!(revision, 2, "the page applies exactly one configuration");
     let _ = fs::remove_dir_all(&directory);
 }
--- a/crates/cli/tests/python_library.rs
+++ b/crates/cli/tests/python_library.rs
@@ -1,4 +1,4 @@
-//! What the operators' library prints is the configuration that `bulrush` takes.
+//! The configurations that the operators' Python library prints are accepted by `bulrush`.
 
 use std::{
     collections::BTreeMap,
@@ -31,7 +31,7 @@
     String::from_utf8(output.stdout).expect("text")
 }
 
-fn example(name: &str, args: &[&str]) -> String {
+fn run_example(name: &str, args: &[&str]) -> String {
     let path = library().join("examples").join(format!("{name}.py"));
     python(&[&[path.to_str().expect("a path")], args].concat())
 }
@@ -46,7 +46,7 @@
     child.wait_with_output().expect("its output")
 }
 
-fn read(text: &str) -> Deployment {
+fn parse(text: &str) -> Deployment {
     parse_deployment("printed", text).unwrap_or_else(|error| panic!("{error}"))
 }
 
@@ -64,11 +64,11 @@
     #[case] zones: [&str; 4],
     #[case] region: &str,
 ) {
-    let text = example(name, &[]);
+    let text = run_example(name, &[]);
     let checked = bulrush(&["check", "-"], &text);
     assert!(checked.status.success(), "{checked:?}");
 
-    let deployment = read(&text);
+    let deployment = parse(&text);
     let known = |name: &str| deployment.services.keys().any(|service| service.as_str() == name);
     assert!(services.into_iter().all(known));
     assert_eq!(deployment.zones.len(), zones.len());
@@ -77,12 +77,12 @@
         assert_eq!(cfg.region, region);
     }
     assert_eq!(deployment.teams.len(), 5);
-    assert_eq!(read(&render(&deployment)), deployment);
+    assert_eq!(parse(&render(&deployment)), deployment);
 }
 
 #[test]
-fn values_arrive() {
-    let deployment = read(&example("guild", &[]));
+fn example_values() {
+    let deployment = parse(&run_example("guild", &[]));
     let ledger = &deployment.services[&"guild-ledger".parse().expect("a name")];
     assert_eq!(ledger.service_type, ServiceType::Plain);
     assert_eq!(ledger.non_repeatable, ["/orders"]);
@@ -94,12 +94,12 @@
 }
 
 #[test]
-fn same_keys() {
+fn same_keys_as_configuration() {
     let program = "import json\nfrom bulrushhall.sections import KINDS\n\
                    print(json.dumps({kind.kind: sorted(kind.keys()) for kind in KINDS}))";
-    let printed = python(&["-c", program]);
-    let printed: BTreeMap<String, Vec<String>> = serde_json::from_str(&printed).expect("JSON");
-    let taken: [(&str, &[&str]); 12] = [
+    let output = python(&["-c", program]);
+    let python_keys: BTreeMap<String, Vec<String>> = serde_json::from_str(&output).expect("JSON");
+    let accepted_keys: [(&str, &[&str]); 12] = [
         ("service", fields_of::<ServiceConfig>()),
         ("engines", fields_of::<EnginesConfig>()),
         ("model", fields_of::<ModelConfig>()),
@@ -113,19 +113,19 @@
         ("vm-class", fields_of::<VmClassConfig>()),
         ("weights", fields_of::<Weights>()),
     ];
-    assert_eq!(taken.map(|(kind, _)| kind), SECTION_KINDS);
-    for (kind, keys) in taken {
+    assert_eq!(accepted_keys.map(|(kind, _)| kind), SECTION_KINDS);
+    for (kind, keys) in accepted_keys {
         let mut keys = keys.to_vec();
         keys.sort_unstable();
-        assert_eq!(printed[kind], keys, "[{kind}]");
+        assert_eq!(python_keys[kind], keys, "[{kind}]");
     }
-    assert_eq!(printed.len(), SECTION_KINDS.len());
+    assert_eq!(python_keys.len(), SECTION_KINDS.len());
 }
 
-// An operator changes a priority in the program and applies what it prints to the deployment that
-// runs, whose backend servers are at addresses that the program does not know.
+// An operator changes a priority in the program and applies its output to a running deployment. The
+// program does not contain the addresses of the backend servers and reads them from `bulrush show`.
 #[tokio::test(flavor = "multi_thread")]
-async fn changed_example() {
+async fn apply_changed_example() {
     let options = TestbedOptions { nodes: 5, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("a testbed");
     let kv = testbed.kv.address().to_string();
@@ -134,7 +134,7 @@
     let file = std::env::temp_dir().join(format!("bulrush-now-{}.json", std::process::id()));
     std::fs::write(&file, &shown.stdout).expect("a written file");
 
-    let text = example("guild", &["--backends-from", file.to_str().expect("a path")]);
+    let text = run_example("guild", &["--backends-from", file.to_str().expect("a path")]);
     let changed = text.replace("[class patient]\npriority = 5", "[class patient]\npriority = 4");
     assert_ne!(changed, text);
     let mut args = vec!["apply", "-", "--json", "--key-value", &kv];
