--- a/operators/python/bulrushhall/deployment.py
+++ b/operators/python/bulrushhall/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment and the configuration text that it stands for."""
+"""Deployments and their rendering as configuration text."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from .sections import KINDS, Section
 
 EXIT_INVALID = 3
-"""The exit code for a deployment with problems, as `bulrush check` has it."""
+"""The exit code for a deployment with problems, the same as that of `bulrush check`."""
 
 
 class Deployment:
-    """A whole deployment."""
+    """A deployment, described by its sections."""
 
     def __init__(self) -> None:
         self.sections: list[Section] = []
 
     def add(self, *sections: Section) -> None:
-        """Adds parts to the deployment."""
+        """Adds sections to the deployment."""
         self.sections.extend(sections)
 
     def render(self) -> str:
-        """Returns the configuration; raises `DeploymentError` with everything that is wrong."""
+        """Returns the configuration text; raises `DeploymentError` if there are problems."""
         problems = find_problems(self.sections)
         if problems:
             raise DeploymentError(problems)
-        order = {kind.kind: at for at, kind in enumerate(KINDS)}
+        order = {kind.kind: index for index, kind in enumerate(KINDS)}
         lines: list[str] = []
         for section in sorted(self.sections, key=lambda section: order[section.kind]):
-            # `bulrush check` tells a line of this text; the comment leads on to the program.
+            # `bulrush check` reports lines of this text; the comment points to the program.
             lines.append(f"; {os.path.basename(section.place.file)}:{section.place.line}")
             lines.append(f"[{section.kind} {section.label}".rstrip() + "]")
             lines += [f"{key} = {value}".rstrip() for key, value in section.values().items()]
@@ -42,7 +42,7 @@
         return "\n".join(lines)
 
     def print(self, out: TextIO | None = None) -> None:
-        """Prints the configuration, or what is wrong, in which case the program ends."""
+        """Prints the configuration; if there are problems, prints these to stderr and exits."""
         try:
             text = self.render()
         except DeploymentError as error:
@@ -52,10 +52,10 @@
 
 
 def backends_from(path: str | Path) -> dict[str, list[str]]:
-    """Returns the backend servers of each service out of what `bulrush show --json` printed."""
+    """Returns the backend servers of each service from the output of `bulrush show --json`."""
     text = sys.stdin.read() if str(path) == "-" else Path(path).read_text(encoding="utf-8")
     services = json.loads(text)["configuration"]["services"]
-    found = {}
+    backends = {}
     for name, service in services.items():
-        found[name] = [item.strip() for item in service["backends"].split(",") if item.strip()]
-    return found
+        backends[name] = [item.strip() for item in service["backends"].split(",") if item.strip()]
+    return backends
--- a/operators/python/bulrushhall/problem.py
+++ b/operators/python/bulrushhall/problem.py
@@ -1,4 +1,4 @@
-"""What is wrong in a deployment and where in the operator's program it was written."""
+"""Problems of a deployment and their places in the operator's program."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """Something that is wrong in a deployment."""
+    """A problem of a deployment, with an optional hint how to fix it."""
 
     place: Place
     message: str
@@ -34,7 +34,7 @@
 
 
 class DeploymentError(Exception):
-    """Raised for a deployment with problems; holds all of them, in the order of their lines."""
+    """Raised for a deployment with problems; holds all of them, ordered by file and line."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(str(problem) for problem in problems))
@@ -42,13 +42,13 @@
 
 
 def caller_place() -> Place:
-    """Returns the line of the nearest caller outside of this package."""
+    """Returns the place of the nearest caller outside this package."""
     frame = sys._getframe(1)
-    while frame.f_back is not None and _is_ours(frame.f_code.co_filename):
+    while frame.f_back is not None and _is_package_code(frame.f_code.co_filename):
         frame = frame.f_back
     return Place(frame.f_code.co_filename, frame.f_lineno)
 
 
-def _is_ours(file: str) -> bool:
-    # The constructors of data classes are generated and have no file of their own.
+def _is_package_code(file: str) -> bool:
+    # Generated constructors of data classes have a placeholder such as <string> as their file.
     return file.startswith("<") or Path(file).resolve().parent == _PACKAGE
--- a/operators/python/bulrushhall/sections.py
+++ b/operators/python/bulrushhall/sections.py
@@ -1,4 +1,4 @@
-"""The parts of a deployment, one class a kind of section."""
+"""The sections of a configuration, one class per kind."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from .units import Rate, duration_text, price_text, size_text
 
 
-# Fields whose keys can't be their names: both stand for something else in a section.
+# Keys that can't be field names, since `type` and `kind` mean something else in a section class.
 KEY_NAMES = {"service_type": "type", "route_kind": "kind"}
 
 
 @dataclass(kw_only=True)
 class Section:
-    """A section of the configuration, with the line of the program that made it."""
+    """A section of the configuration, with the program line that created it."""
 
     kind: ClassVar[str]
     place: Place = field(init=False, repr=False, compare=False)
@@ -28,17 +28,17 @@
 
     @property
     def label(self) -> str:
-        """Returns the name of the section, empty for a kind that stands once."""
+        """Returns the name of the section, or an empty string for a kind without names."""
         return str(getattr(self, "name", ""))
 
     @classmethod
     def keys(cls) -> list[str]:
-        """Returns the keys that the section may have."""
-        known = [item.name for item in fields(cls) if item.name not in ("name", "place")]
-        return [KEY_NAMES.get(key, key) for key in known]
+        """Returns the keys that a section of this kind accepts."""
+        names = [item.name for item in fields(cls) if item.name not in ("name", "place")]
+        return [KEY_NAMES.get(key, key) for key in names]
 
     def values(self) -> dict[str, str]:
-        """Returns the texts of the keys that are set."""
+        """Returns the keys that are set, with their values as text."""
         texts = {}
         for item in fields(self):
             value = getattr(self, item.name, None)
@@ -60,7 +60,7 @@
 
 @dataclass
 class VmClass(Section):
-    """A class of VMs; it is bought at no higher price than given."""
+    """A class of VMs, bought only up to the given hourly prices."""
 
     kind = "vm-class"
     name: str
@@ -86,7 +86,7 @@
 
 @dataclass
 class Engines(Section):
-    """How many engines the service of the same name has and what each takes on."""
+    """The engines of the service of the same name: their number, capacity and placement."""
 
     kind = "engines"
     name: str
@@ -121,7 +121,7 @@
 
 @dataclass
 class Adapter(Section):
-    """An adapter that is loaded beside a model; its size is in bytes."""
+    """An adapter that is loaded in addition to a model; its size is in bytes."""
 
     kind = "adapter"
     name: str
@@ -132,7 +132,7 @@
 
 @dataclass
 class Rollout(Section):
-    """How a version comes into use."""
+    """The gradual rollout of a model's version."""
 
     kind = "rollout"
     name: str
@@ -144,7 +144,7 @@
 
 @dataclass
 class Class(Section):
-    """A kind of requests; priority 0 is the most urgent."""
+    """A class of requests; priority 0 is the most urgent."""
 
     kind = "class"
     name: str
@@ -171,7 +171,7 @@
 
 @dataclass
 class Route(Section):
-    """A route by which callers' requests reach services."""
+    """A route from callers' requests to services."""
 
     kind = "route"
     name: str
@@ -189,7 +189,7 @@
 
 @dataclass
 class Weights(Section):
-    """What weighs how much in decisions."""
+    """The weights of cost and of recomputed tokens in decisions."""
 
     kind = "weights"
     cost: float | None = None
@@ -213,7 +213,7 @@
 
 
 def value_text(key: str, value: object) -> str:
-    """Returns a value as the configuration writes it."""
+    """Returns a value in the syntax of the configuration."""
     if isinstance(value, timedelta):
         return duration_text(value)
     if isinstance(value, Decimal):
--- a/operators/python/examples/guild.py
+++ b/operators/python/examples/guild.py
@@ -1,4 +1,4 @@
-"""The Fiji Heritage Tile Guild's deployment: the pattern desk and the ledger of orders."""
+"""The Fiji Heritage Tile Guild's deployment: the pattern desk and the order ledger."""
 
 import argparse
 from datetime import timedelta
@@ -73,6 +73,6 @@
 
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--backends-from", metavar="FILE", help="what `bulrush show --json` printed")
+    parser.add_argument("--backends-from", metavar="FILE", help="output of `bulrush show --json`")
     args = parser.parse_args()
     guild(backends_from(args.backends_from) if args.backends_from else {}).print()
--- a/operators/python/examples/hrafnsdottir.py
+++ b/operators/python/examples/hrafnsdottir.py
@@ -1,4 +1,4 @@
-"""Hrafnsdóttir & Sons' deployment: the judges of comments and the desk's own service."""
+"""Hrafnsdóttir & Sons' deployment: the comment judges and the desk's own service."""
 
 import argparse
 from datetime import timedelta
@@ -72,6 +72,6 @@
 
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--backends-from", metavar="FILE", help="what `bulrush show --json` printed")
+    parser.add_argument("--backends-from", metavar="FILE", help="output of `bulrush show --json`")
     args = parser.parse_args()
     hrafnsdottir(backends_from(args.backends_from) if args.backends_from else {}).print()
--- a/operators/python/tests/test_problems.py
+++ b/operators/python/tests/test_problems.py
@@ -1,4 +1,4 @@
-"""A mistake is told with the line of the operator's own program."""
+"""Problems are reported with the line of the operator's program."""
 
 import subprocess
 import sys
@@ -46,11 +46,11 @@
 
 
 class ProblemTests(unittest.TestCase):
-    def test_own_line(self):
+    def test_program_line(self):
         with tempfile.TemporaryDirectory() as directory:
             program = Path(directory) / "guild.py"
             program.write_text(PROGRAM, encoding="utf-8")
-            ended = subprocess.run(
+            result = subprocess.run(
                 [sys.executable, str(program)],
                 env={"PYTHONPATH": str(ROOT)},
                 capture_output=True,
@@ -58,10 +58,10 @@
                 timeout=30,
                 check=False,
             )
-        lines = ended.stderr.splitlines()
-        self.assertEqual(ended.returncode, 3, ended.stderr)
-        self.assertEqual(ended.stdout, "")
-        self.assertEqual(len(lines), 2, ended.stderr)
+        lines = result.stderr.splitlines()
+        self.assertEqual(result.returncode, 3, result.stderr)
+        self.assertEqual(result.stdout, "")
+        self.assertEqual(len(lines), 2, result.stderr)
         self.assertIn("guild.py:5: model motif-7b names the service patern-desk", lines[0])
         self.assertIn("did you mean pattern-desk?", lines[0])
         self.assertIn("guild.py:6: malformed name", lines[1])
--- a/operators/python/tests/test_rendering.py
+++ b/operators/python/tests/test_rendering.py
@@ -1,4 +1,4 @@
-"""Values are written with their units."""
+"""Sections and values with units are rendered in the syntax of the configuration."""
 
 import unittest
 from datetime import timedelta
