--- a/crates/cli/src/demo/outcome.rs
+++ b/crates/cli/src/demo/outcome.rs
@@ -43,7 +43,7 @@
         let finished: u64 = report.summaries.values().map(|summary| summary.finished).sum();
         // The cloud reports costs in thousandths of a cent.
         let spent_cents = testbed.cloud.spent() / 1e3;
-        let promises = violations
+        let violation_texts = violations
             .iter()
             .map(|item| format!("{:?}: {}: {}", item.broken, item.subject, item.seen));
         let not_finished = count_unfinished(&report);
@@ -58,7 +58,7 @@
             moved_bytes: engines.exported_bytes,
             orders_run_more_than_once: testbed.ledger.doubled(),
             key_value_calls: kv.reads + kv.writes + kv.leases + kv.watches,
-            broken_promises: promises.collect(),
+            broken_promises: violation_texts.collect(),
             classes: report.summaries,
             violations,
         }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -49,7 +49,7 @@
         /// The revision in force.
         found: Revision,
     },
-    /// The change was refused for the reason in the text.
+    /// The change was refused; holds the reason.
     Refused(String),
     /// No given node knows the request.
     RequestNotFound(String),
@@ -125,7 +125,7 @@
                 "finished requests are kept for five minutes; give --node for every node".into()
             }
             CliError::NodeNotFound(_) => "run `bulrush status` to list the nodes".into(),
-            CliError::RevisionNotFound(_) => "run `bulrush show --history` for a list".into(),
+            CliError::RevisionNotFound(_) => "`bulrush show --history` lists the revisions".into(),
             CliError::NotInForce { .. } => {
                 "the change stays accepted; run `bulrush status` to see the revision of each node"
                     .into()
--- a/crates/cli/tests/operator_commands.rs
+++ b/crates/cli/tests/operator_commands.rs
@@ -56,7 +56,7 @@
         serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{output:?}"))
     }
 
-    fn code(&self, args: &[&str], input: &str) -> Option<i32> {
+    fn exit_code(&self, args: &[&str], input: &str) -> Option<i32> {
         self.run(args, input).status.code()
     }
 }
@@ -125,7 +125,7 @@
     let operator = Operator::for_testbed(&testbed);
     let before = operator.json(&["show"], "")["revision"].to_string();
     let args = ["apply", "-", "--expect-revision", &before];
-    assert_eq!(operator.code(&args, &with_priority(&testbed.config, 7)), Some(0));
+    assert_eq!(operator.exit_code(&args, &with_priority(&testbed.config, 7)), Some(0));
 
     let second = operator.run(&args, &with_priority(&testbed.config, 8));
     assert_eq!(second.status.code(), Some(4));
@@ -149,15 +149,15 @@
     assert_eq!(preview["changes"], json!([change]));
     assert_eq!(preview["applied"], false);
     assert_eq!(operator.json(&["show"], "")["revision"], before);
-    assert_eq!(operator.code(&["diff", "-"], &changed), Some(8));
-    assert_eq!(operator.code(&["diff", "-"], &testbed.config), Some(0));
+    assert_eq!(operator.exit_code(&["diff", "-"], &changed), Some(8));
+    assert_eq!(operator.exit_code(&["diff", "-"], &testbed.config), Some(0));
 
-    assert_eq!(operator.code(&["apply", "-"], &changed), Some(0));
+    assert_eq!(operator.exit_code(&["apply", "-"], &changed), Some(0));
     let history = operator.json(&["show", "--history"], "");
     assert_eq!(history["revisions"].as_array().map(Vec::len), Some(2), "{history}");
     let earlier = operator.json(&["show", "--revision", &before.to_string()], "");
     assert_eq!(earlier["text"], testbed.config.as_str());
-    assert_eq!(operator.code(&["show", "--revision", "99"], ""), Some(7));
+    assert_eq!(operator.exit_code(&["show", "--revision", "99"], ""), Some(7));
 }
 
 // During an outage of the key-value service, commands must report that it is unreachable. If they
@@ -232,7 +232,7 @@
     let before = operator.json(&["show"], "")["revision"].clone();
     testbed.kv.switches().set(Faults { outage: true, ..Faults::default() });
     let changed = with_priority(&testbed.config, 7);
-    assert_eq!(operator.code(&["apply", "-", "--give-up-after", "1s"], &changed), Some(5));
+    assert_eq!(operator.exit_code(&["apply", "-", "--give-up-after", "1s"], &changed), Some(5));
     testbed.kv.switches().set(Faults::default());
     assert_eq!(operator.json(&["show"], "")["revision"], before);
 }
@@ -252,7 +252,7 @@
         .collect();
     assert_eq!(leaving.len(), 1);
     assert_eq!(leaving[0]["status"]["node"], "entry-2");
-    assert_eq!(operator.code(&["drain", "entry-9"], ""), Some(7));
+    assert_eq!(operator.exit_code(&["drain", "entry-9"], ""), Some(7));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -273,7 +273,7 @@
     let found: Value = serde_json::from_str(&text).expect("JSON");
     let holder = found.as_array().expect("a list").iter().find(|at| at["accepted_here"] == true);
     assert_eq!(holder.expect("the holder")["node"], "entry-3");
-    assert_eq!(operator.code(&["requests", "r-1-1"], ""), Some(7));
+    assert_eq!(operator.exit_code(&["requests", "r-1-1"], ""), Some(7));
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/operators/python/bulrushhall/checks.py
+++ b/operators/python/bulrushhall/checks.py
@@ -24,7 +24,7 @@
     ("rollout", "model"): "model",
     ("rollout", "version"): "version",
 }
-_MIN_ONE = {"share", "max_tokens", "step", "answers", "accelerators"}
+_POSITIVE_KEYS = {"share", "max_tokens", "step", "answers", "accelerators"}
 
 
 def find_problems(sections: Sequence[Section]) -> list[Problem]:
@@ -60,8 +60,8 @@
             hint = "write at least 0, with at most three decimals"
             yield Problem(section.place, f"{prefix}: {key} is {value}", hint)
         is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
-        if is_number and value < (1 if key in _MIN_ONE else 0):
-            hint = f"write at least {1 if key in _MIN_ONE else 0}"
+        if is_number and value < (1 if key in _POSITIVE_KEYS else 0):
+            hint = f"write at least {1 if key in _POSITIVE_KEYS else 0}"
             yield Problem(section.place, f"{prefix}: {key} is {value}", hint)
         if isinstance(value, str) and ("\n" in value or "\r" in value):
             yield Problem(section.place, f"{prefix}: {key} has a line break", "remove it")
--- a/operators/python/bulrushhall/units.py
+++ b/operators/python/bulrushhall/units.py
@@ -40,7 +40,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Returns the hash of a caller's key for `key_hash`; the configuration lacks the key itself."""
+    """Returns the SHA-256 hash of a caller's key for `key_hash`; the key itself is not kept."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
