--- a/crates/daemon/src/callers/admit.rs
+++ b/crates/daemon/src/callers/admit.rs
@@ -46,7 +46,7 @@
     let (copied_tx, copied) = oneshot::channel();
     let accept = Accept { id, body, copied: copied_tx };
     let stopping = |_| ApiError::not_run(ApiCode::Leaving, "the node is stopping");
-    cx.keeper.send(accept).await.map_err(stopping)?;
+    cx.ownership.send(accept).await.map_err(stopping)?;
     let version = Version { epoch: 1, generation: 0, owner: cx.incarnation };
     let emitted = Vec::new();
     let run = Run { portable, answer: Arc::clone(&answer), version, emitted, cause: Cause::Engine };
--- a/crates/daemon/src/callers/relay.rs
+++ b/crates/daemon/src/callers/relay.rs
@@ -196,7 +196,7 @@
                 }
                 run.emitted.push(token.clone());
                 let produced = Produced { id: answer.id(), version: run.version, token };
-                if !cx.keeper.send(produced).await.unwrap_or(false) {
+                if !cx.ownership.send(produced).await.unwrap_or(false) {
                     answer.halt();
                     return AttemptEnd::failed(CallFault::Closed);
                 }
--- a/crates/daemon/src/callers/settle.rs
+++ b/crates/daemon/src/callers/settle.rs
@@ -21,5 +21,5 @@
 // Readers see the end once the holder of the copy has it too: an answer whose end was shown must
 // not be run again by a holder that takes over.
 async fn end(cx: &Context, answer: &Answer, end: AnswerEnd) {
-    let _ = cx.keeper.send(Ended { id: answer.id(), end }).await;
+    let _ = cx.ownership.send(Ended { id: answer.id(), end }).await;
 }
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -24,7 +24,7 @@
     budgeted::Budgeted,
     clock::Clock,
     dispatcher::Dispatcher,
-    handoff::{Keeper, Recomputed},
+    handoff::{OwnershipActor, Recomputed},
     keyed::Claimer,
     members::{Member, Members},
     meters::Meters,
@@ -64,7 +64,7 @@
     /// The actor that queues and places.
     pub dispatcher: Address<Dispatcher>,
     /// The actor that knows which requests the node owns.
-    pub keeper: Address<Keeper>,
+    pub ownership: Address<OwnershipActor>,
     /// The actor that learns the homes of idempotency keys.
     pub claimer: Address<Claimer>,
     /// The tokens that were computed a second time, by cause.
--- a/crates/daemon/src/handoff/drain.rs
+++ b/crates/daemon/src/handoff/drain.rs
@@ -38,14 +38,14 @@
             }
         }
         if !ids.is_empty() {
-            let _ = cx.keeper.send(HandOver(ids)).await;
+            let _ = cx.ownership.send(HandOver(ids)).await;
         }
         sleep(PAUSE).await;
     }
 }
 
 /// Ends the answers that are still open here; their readers are told where to go on.
-pub fn empty(cx: &Context) {
+pub fn end_open_answers(cx: &Context) {
     let mut others =
         cx.members.current().iter().filter(|it| !it.leaving).cloned().collect::<Vec<_>>();
     others.sort_by_key(|member| member.zone != cx.settings.node.zone);
@@ -56,20 +56,20 @@
 }
 
 /// Lets the time of ownership pass and tells it of the members.
-pub async fn pass_time(cx: Arc<Context>) {
+pub async fn run_timers(cx: Arc<Context>) {
     let mut members = cx.members.subscribe();
     let mut swept = Instant::now();
-    let _ = cx.keeper.send(SetMembers(cx.members.current())).await;
+    let _ = cx.ownership.send(SetMembers(cx.members.current())).await;
     loop {
         sleep(TICK_PAUSE).await;
         if members.has_changed().unwrap_or(false) {
             members.borrow_and_update();
-            let _ = cx.keeper.send(SetMembers(cx.members.current())).await;
+            let _ = cx.ownership.send(SetMembers(cx.members.current())).await;
         }
-        let _ = cx.keeper.send(Tick).await;
+        let _ = cx.ownership.send(Tick).await;
         if SWEEP_PAUSE <= swept.elapsed() {
             swept = Instant::now();
-            let _ = cx.keeper.send(Sweep).await;
+            let _ = cx.ownership.send(Sweep).await;
         }
     }
 }
--- a/crates/daemon/src/handoff/find.rs
+++ b/crates/daemon/src/handoff/find.rs
@@ -69,7 +69,7 @@
 pub(super) async fn cancel_here(cx: &Context, answer: &Answer) -> bool {
     let error = ApiError::not_run(ApiCode::Cancelled, "the caller cancelled the request");
     let end = AnswerEnd::Failed(error.ran(answer.ran()));
-    let ended = cx.keeper.send(Ended { id: answer.id(), end }).await.unwrap_or(false);
+    let ended = cx.ownership.send(Ended { id: answer.id(), end }).await.unwrap_or(false);
     if ended {
         answer.halt();
     }
@@ -159,7 +159,7 @@
 ) -> Option<Found> {
     let until = Instant::now() + FIND_WAIT;
     let mut rounds = 0;
-    let standing = || cx.keeper.send(StandingOf { team: team.clone(), id });
+    let standing = || cx.ownership.send(StandingOf { team: team.clone(), id });
     while Instant::now() < until {
         let mut hint = id.origin;
         if let Ok(Standing::WentTo(to)) = standing().await {
--- a/crates/daemon/src/handoff/messages.rs
+++ b/crates/daemon/src/handoff/messages.rs
@@ -98,7 +98,7 @@
 pub fn register(port: &mut PeerPort) {
     port.register(|cx: Arc<Context>, from, batch: Batch| async move {
         let receive = Receive { from: from.incarnation, messages: batch.messages };
-        Batch { messages: cx.keeper.send(receive).await.unwrap_or_default() }
+        Batch { messages: cx.ownership.send(receive).await.unwrap_or_default() }
     });
     port.register(|cx: Arc<Context>, _from, read: Read| async move { reply(&cx, read).await });
     port.register(|cx: Arc<Context>, _from, cancel: Cancel| async move {
@@ -109,7 +109,7 @@
 
 async fn reply(cx: &Context, read: Read) -> ReadReply {
     let answer = cx.answers.get(read.id);
-    let standing = cx.keeper.send(StandingOf { team: read.team.clone(), id: read.id }).await;
+    let standing = cx.ownership.send(StandingOf { team: read.team.clone(), id: read.id }).await;
     let standing = standing.unwrap_or(Standing::Unknown);
     match (answer, standing) {
         (Some(answer), Standing::Owner) if *answer.team() == read.team => {
--- a/crates/daemon/src/handoff/mod.rs
+++ b/crates/daemon/src/handoff/mod.rs
@@ -5,19 +5,19 @@
 mod drain;
 mod evacuate;
 mod find;
-mod keeper;
 mod messages;
+mod ownership_actor;
 mod portable;
 mod recomputed;
 
 pub use abandon::cancel_abandoned;
-pub use drain::{drain, empty, pass_time};
+pub use drain::{drain, end_open_answers, run_timers};
 pub use evacuate::{evacuate, follow_notices};
 pub use find::{cancel, find, follow};
-pub use keeper::{
-    Accept, Ended, HandOver, Keeper, Produced, Receive, SetMembers, Standing, StandingOf, Sweep,
-    Tick, Undelivered,
-};
 pub use messages::{Batch, Cancel, Read, ReadReply, register};
+pub use ownership_actor::{
+    Accept, Ended, HandOver, OwnershipActor, Produced, Receive, SetMembers, Standing, StandingOf,
+    Sweep, Tick, Undelivered,
+};
 pub use portable::Portable;
 pub use recomputed::{Cause, Recomputed};
--- a/crates/daemon/src/handoff/keeper.rs
+++ b/crates/daemon/src/handoff/ownership_actor.rs
@@ -25,8 +25,8 @@
     members::Member,
 };
 
-/// A `Keeper` knows which requests this node owns and which copies it holds.
-pub struct Keeper {
+/// An `OwnershipActor` knows which requests this node owns and which copies it holds.
+pub struct OwnershipActor {
     cx: Arc<Context>,
     machine: Ownership,
     waiting: HashMap<RequestId, oneshot::Sender<CopyLocation>>,
@@ -110,12 +110,12 @@
 /// A `Sweep` looks for takeovers, repeats and time-outs.
 pub struct Sweep;
 
-impl Keeper {
-    /// Returns the keeper of a node.
-    pub fn new(cx: Arc<Context>) -> Keeper {
+impl OwnershipActor {
+    /// Returns the ownership actor of a node.
+    pub fn new(cx: Arc<Context>) -> OwnershipActor {
         let zone = cx.settings.node.zone.clone();
         let machine = Ownership::new(cx.incarnation, zone, OwnershipOptions::default());
-        Keeper { cx, machine, waiting: HashMap::new(), addresses: HashMap::new() }
+        OwnershipActor { cx, machine, waiting: HashMap::new(), addresses: HashMap::new() }
     }
 
     fn carry_out(&mut self, actions: Vec<Action>) {
@@ -172,10 +172,10 @@
             let _ = match sent {
                 Some(Batch { messages }) if messages.is_empty() => return,
                 Some(Batch { messages }) => {
-                    let replies = cx.keeper.send(Receive { from: to, messages }).await;
+                    let replies = cx.ownership.send(Receive { from: to, messages }).await;
                     replies.map(drop)
                 }
-                None => cx.keeper.send(Undelivered { to, ids }).await,
+                None => cx.ownership.send(Undelivered { to, ids }).await,
             };
         });
     }
@@ -210,7 +210,7 @@
     }
 }
 
-impl Actor for Keeper {
+impl Actor for OwnershipActor {
     type Stop = ();
 
     async fn started(&mut self, _mailbox: &Mailbox<Self>) -> Result<(), Self::Stop> {
@@ -220,7 +220,7 @@
     async fn stopped(self) -> Self::Stop {}
 }
 
-impl Handler<Accept> for Keeper {
+impl Handler<Accept> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, accept: Accept, _cx: &mut xtra::Context<Self>) {
@@ -230,7 +230,7 @@
     }
 }
 
-impl Handler<Produced> for Keeper {
+impl Handler<Produced> for OwnershipActor {
     type Return = bool;
 
     async fn handle(&mut self, produced: Produced, _cx: &mut xtra::Context<Self>) -> bool {
@@ -238,7 +238,7 @@
     }
 }
 
-impl Handler<Ended> for Keeper {
+impl Handler<Ended> for OwnershipActor {
     type Return = bool;
 
     async fn handle(&mut self, ended: Ended, _cx: &mut xtra::Context<Self>) -> bool {
@@ -247,7 +247,7 @@
     }
 }
 
-impl Handler<Receive> for Keeper {
+impl Handler<Receive> for OwnershipActor {
     type Return = Vec<Message>;
 
     async fn handle(&mut self, receive: Receive, _cx: &mut xtra::Context<Self>) -> Vec<Message> {
@@ -269,7 +269,7 @@
     }
 }
 
-impl Handler<Undelivered> for Keeper {
+impl Handler<Undelivered> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, lost: Undelivered, _cx: &mut xtra::Context<Self>) {
@@ -280,7 +280,7 @@
     }
 }
 
-impl Handler<SetMembers> for Keeper {
+impl Handler<SetMembers> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, set: SetMembers, _cx: &mut xtra::Context<Self>) {
@@ -299,7 +299,7 @@
     }
 }
 
-impl Handler<HandOver> for Keeper {
+impl Handler<HandOver> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, hand_over: HandOver, _cx: &mut xtra::Context<Self>) {
@@ -310,7 +310,7 @@
     }
 }
 
-impl Handler<StandingOf> for Keeper {
+impl Handler<StandingOf> for OwnershipActor {
     type Return = Standing;
 
     async fn handle(&mut self, of: StandingOf, _cx: &mut xtra::Context<Self>) -> Standing {
@@ -327,7 +327,7 @@
     }
 }
 
-impl Handler<Tick> for Keeper {
+impl Handler<Tick> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, _tick: Tick, _cx: &mut xtra::Context<Self>) {
@@ -336,7 +336,7 @@
     }
 }
 
-impl Handler<Sweep> for Keeper {
+impl Handler<Sweep> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, _sweep: Sweep, _cx: &mut xtra::Context<Self>) {
--- a/crates/daemon/src/keyed/claimer.rs
+++ b/crates/daemon/src/keyed/claimer.rs
@@ -144,7 +144,7 @@
 }
 
 /// Lets the claimer's time pass.
-pub async fn pass_time(claimer: xtra::Address<Claimer>) {
+pub async fn run_timer(claimer: xtra::Address<Claimer>) {
     loop {
         sleep(TICK_PAUSE).await;
         let _ = claimer.send(ClaimerTick).await;
--- a/crates/daemon/src/keyed/mod.rs
+++ b/crates/daemon/src/keyed/mod.rs
@@ -5,7 +5,7 @@
 mod messages;
 mod stored;
 
-pub use claimer::{Bind, Claimer, ClaimerTick, ReadBack, SwapBack, pass_time};
+pub use claimer::{Bind, Claimer, ClaimerTick, ReadBack, SwapBack, run_timer};
 pub(crate) use home::portable_headers;
 pub use home::{Keyed, call};
 pub use messages::{ClaimFor, KeyedCall, KeyedReply, register};
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -40,7 +40,7 @@
     dispatcher::{Dispatcher, SetWorkers, Tick},
     errors::NodeError,
     fleet,
-    handoff::{self, Keeper, Recomputed},
+    handoff::{self, OwnershipActor, Recomputed},
     keyed::{self, Claimer},
     loads,
     members::Members,
@@ -81,7 +81,7 @@
         let dispatcher = xtra::spawn_tokio(dispatcher, Mailbox::unbounded());
         let meters = Arc::new(Meters::new(&settings.node.name));
         let key_value = settings.platform.key_value.map(key_value_client);
-        let (keeper, mailbox) = Mailbox::unbounded();
+        let (ownership, mailbox) = Mailbox::unbounded();
         let (claimer, claimer_mailbox) = Mailbox::unbounded();
         let (leaving_news, news) = mpsc::unbounded_channel();
         let cx = Arc::new(Context {
@@ -92,7 +92,7 @@
             answers: Answers::default(),
             backends: Backends::default(),
             dispatcher,
-            keeper,
+            ownership,
             claimer: claimer.clone(),
             recomputed: Recomputed::default(),
             ledger: Mutex::new(Ledger::new(LedgerOptions::default())),
@@ -145,10 +145,10 @@
             ports.spawn(serve(listener, handler, options, stopped.clone()));
         }
         let duties = vec![
-            tokio::spawn(xtra::run(mailbox, Keeper::new(Arc::clone(&cx)))),
+            tokio::spawn(xtra::run(mailbox, OwnershipActor::new(Arc::clone(&cx)))),
             tokio::spawn(xtra::run(claimer_mailbox, Claimer::new(&cx))),
-            tokio::spawn(handoff::pass_time(Arc::clone(&cx))),
-            tokio::spawn(keyed::pass_time(claimer)),
+            tokio::spawn(handoff::run_timers(Arc::clone(&cx))),
+            tokio::spawn(keyed::run_timer(claimer)),
             tokio::spawn(handoff::drain(Arc::clone(&cx))),
             tokio::spawn(handoff::cancel_abandoned(Arc::clone(&cx))),
             tokio::spawn(handoff::follow_notices(Arc::clone(&cx))),
@@ -197,7 +197,7 @@
             }
         };
         let _ = tokio::time::timeout(drain, emptied).await;
-        handoff::empty(&self.cx);
+        handoff::end_open_answers(&self.cx);
         self.stop.send_replace(true);
         while self.ports.join_next().await.is_some() {}
         self.end_duties();
