--- a/crates/daemon/src/answers/answer.rs
+++ b/crates/daemon/src/answers/answer.rs
@@ -1,4 +1,4 @@
-//! One answer: the tokens that came so far, and readers that follow at their own speed.
+//! One answer: the tokens generated so far, and readers that follow at their own speed.
 
 use std::{
     net::SocketAddr,
@@ -17,9 +17,9 @@
 
 use crate::callers::ApiError;
 
-/// An `Answer` collects one request's tokens; an engine writes it and any number of readers read.
+/// An `Answer` collects the tokens of one request, which any number of readers follow.
 ///
-/// A reader that is slow or gone holds nobody else up: it only reads later.
+/// A reader that is slow or has disconnected delays neither the run nor other readers.
 pub struct Answer {
     id: RequestId,
     team: TeamName,
@@ -32,55 +32,56 @@
     uncopied: AtomicBool,
     started: AtomicBool,
     may_have_run: AtomicBool,
-    attended: AtomicBool,
+    needs_reader: AtomicBool,
     prompt_tokens: AtomicUsize,
-    place: Mutex<Option<WorkerKey>>,
-    evacuation: watch::Sender<Evacuate>,
+    worker: Mutex<Option<WorkerKey>>,
+    evacuation: watch::Sender<EvacuationState>,
 }
 
-/// An `Evacuate` tells a run whether it has to leave its engine.
+/// An `EvacuationState` tells a run whether it has to leave its engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Evacuate {
-    /// It stays.
+pub enum EvacuationState {
+    /// The run stays on its engine.
     #[default]
     Stay,
-    /// Its KV cache is to be moved, and it goes on elsewhere.
+    /// The run exports its KV cache and resumes on another engine.
     Move,
-    /// It goes on elsewhere at once.
+    /// The run resumes on another engine at once, without its KV cache.
     Resume,
 }
 
 /// An `AnswerEnd` is how an answer ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerEnd {
-    /// The answer is whole.
+    /// The answer is complete.
     Whole(Usage),
-    /// The answer will never be whole.
+    /// The answer failed and will not be completed.
     Failed(ApiError),
-    /// The answer goes on at another node, where its readers may follow it.
+    /// The answer is continued by another node, where its readers may follow it.
     Moved(SocketAddr),
 }
 
-/// A `Part` is what a reader gets next.
+/// A `Part` is an item that a reader receives.
 #[derive(Clone, Debug)]
 pub enum Part {
-    /// A token and its place in the answer.
-    Token(Place, String),
-    /// What the reader saw before is not the beginning of this answer; nothing follows.
+    /// A token and its position in the answer.
+    Token(TokenPosition, String),
+    /// The part that the reader has seen is not the beginning of this answer; nothing follows.
     Diverged,
     /// The end; nothing follows.
     End(AnswerEnd),
 }
 
-/// A `Place` is a token's number and a check over the text up to it.
+/// A `TokenPosition` is the number of a token and a checksum of the text up to it.
 ///
-/// An answer that was resumed from an older state may go on with other words. Readers show the
-/// check of the last token that they saw, so that they are never given two halves of two texts.
+/// An answer that was resumed from an older state may continue with a different text. Readers send
+/// the checksum of the last token that they received, so that they never receive parts of two
+/// texts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct TokenPosition {
     /// The number of the token; the first has 0.
     pub number: usize,
-    /// The check over all tokens up to this one.
+    /// The checksum of all tokens up to this one.
     pub check: u32,
 }
 
@@ -106,9 +107,9 @@
             uncopied: AtomicBool::new(false),
             started: AtomicBool::new(false),
             may_have_run: AtomicBool::new(false),
-            attended: AtomicBool::new(false),
+            needs_reader: AtomicBool::new(false),
             prompt_tokens: AtomicUsize::new(0),
-            place: Mutex::default(),
+            worker: Mutex::default(),
             evacuation: watch::Sender::default(),
         }
     }
@@ -133,7 +134,7 @@
         &self.class
     }
 
-    /// Adds tokens of which the first has number `first`; those that are known already are
+    /// Adds tokens, the first of which has number `first`; tokens that are already known are
     /// skipped.
     pub fn push(&self, first: usize, tokens: impl IntoIterator<Item = String>) {
         let mut state = self.lock();
@@ -143,7 +144,7 @@
         let known = state.tokens.len() - first;
         for token in tokens.into_iter().skip(known) {
             let before = state.checks.last().copied().unwrap_or(0);
-            state.checks.push(check_after(before, &token));
+            state.checks.push(next_check(before, &token));
             state.tokens.push(token);
         }
         let length = state.tokens.len();
@@ -151,7 +152,7 @@
         self.length.send_replace(length);
     }
 
-    /// Ends the answer; a second end changes nothing.
+    /// Ends the answer; does nothing if it has ended already.
     pub fn end(&self, end: AnswerEnd) {
         let mut state = self.lock();
         if state.end.is_some() {
@@ -167,41 +168,42 @@
         self.lock().tokens.clone()
     }
 
-    /// Returns the tokens from number `first` on and how the answer ended, if it did.
-    pub fn since(&self, first: usize) -> (Vec<String>, Option<AnswerEnd>) {
+    /// Returns the tokens from number `first` on, and how the answer ended if it did.
+    pub fn tokens_from(&self, first: usize) -> (Vec<String>, Option<AnswerEnd>) {
         let state = self.lock();
         (state.tokens.iter().skip(first).cloned().collect(), state.end.clone())
     }
 
-    /// Returns the place of the last token.
-    pub fn last(&self) -> Option<Place> {
+    /// Returns the position of the last token.
+    pub fn last_position(&self) -> Option<TokenPosition> {
         let state = self.lock();
         let check = *state.checks.last()?;
-        Some(Place { number: state.tokens.len() - 1, check })
+        Some(TokenPosition { number: state.tokens.len() - 1, check })
     }
 
-    /// Returns whether a place is one of this answer's; unknown while it is not written so far.
-    pub fn has(&self, place: Place) -> Option<bool> {
-        self.lock().checks.get(place.number).map(|check| *check == place.check)
+    /// Returns whether a position belongs to this answer; none if the answer has not reached it
+    /// yet.
+    pub fn contains(&self, position: TokenPosition) -> Option<bool> {
+        self.lock().checks.get(position.number).map(|check| *check == position.check)
     }
 
-    /// Makes the run of this answer stop.
+    /// Requests the run of this answer to stop.
     pub fn halt(&self) {
         self.halted.send_replace(true);
     }
 
-    /// Waits until the run of this answer is to stop.
+    /// Waits until the run of this answer is requested to stop.
     pub async fn halted(&self) {
         let mut halted = self.halted.subscribe();
         let _ = halted.wait_for(|halted| *halted).await;
     }
 
-    /// Returns whether the run of this answer is to stop.
+    /// Returns whether the run of this answer is requested to stop.
     pub fn is_halted(&self) -> bool {
         *self.halted.borrow()
     }
 
-    /// Notes that no other node has a copy of the request.
+    /// Records that no other node has a copy of the request.
     pub fn set_uncopied(&self) {
         self.uncopied.store(true, Ordering::Relaxed);
     }
@@ -211,68 +213,68 @@
         self.uncopied.load(Ordering::Relaxed)
     }
 
-    /// Notes that an earlier owner may have written the request to a backend server.
+    /// Records that an earlier owner may have sent the request to a backend server.
     pub fn set_may_have_run(&self) {
         self.may_have_run.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that an engine was given the request.
+    /// Records that the request is being sent to an engine.
     pub fn set_started(&self) {
         self.started.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether an engine was given the request.
+    /// Returns whether this node has sent the request to an engine.
     pub fn is_started(&self) -> bool {
         self.started.load(Ordering::Relaxed)
     }
 
-    /// Notes that the answer is of use only while somebody reads it.
-    pub fn set_attended(&self) {
-        self.attended.store(true, Ordering::Relaxed);
+    /// Records that the answer is only useful while it has a reader.
+    pub fn set_needs_reader(&self) {
+        self.needs_reader.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether the answer is of use only while somebody reads it.
-    pub fn is_attended(&self) -> bool {
-        self.attended.load(Ordering::Relaxed)
+    /// Returns whether the answer is only useful while it has a reader.
+    pub fn needs_reader(&self) -> bool {
+        self.needs_reader.load(Ordering::Relaxed)
     }
 
-    /// Notes the estimated tokens of the prompt.
+    /// Sets the estimated number of prompt tokens.
     pub fn set_prompt_tokens(&self, tokens: u32) {
         self.prompt_tokens.store(usize::try_from(tokens).unwrap_or(0), Ordering::Relaxed);
     }
 
-    /// Returns the estimated tokens of the prompt.
+    /// Returns the estimated number of prompt tokens.
     pub fn prompt_tokens(&self) -> u32 {
         u32::try_from(self.prompt_tokens.load(Ordering::Relaxed)).unwrap_or(u32::MAX)
     }
 
-    /// Notes the engine that the request runs on; an order to leave an earlier one is done.
-    pub fn set_place(&self, place: Option<WorkerKey>) {
-        *self.place.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = place;
-        self.evacuation.send_replace(Evacuate::Stay);
+    /// Sets the engine that the request runs on, and resets the evacuation of the previous engine.
+    pub fn set_worker(&self, worker: Option<WorkerKey>) {
+        *self.worker.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = worker;
+        self.evacuation.send_replace(EvacuationState::Stay);
     }
 
     /// Returns the engine that the request runs on.
-    pub fn place(&self) -> Option<WorkerKey> {
-        *self.place.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    pub fn worker(&self) -> Option<WorkerKey> {
+        *self.worker.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Tells the run to leave its engine.
-    pub fn evacuate(&self, how: Evacuate) {
-        self.evacuation.send_replace(how);
+    /// Sets whether the run has to leave its engine.
+    pub fn evacuate(&self, state: EvacuationState) {
+        self.evacuation.send_replace(state);
     }
 
-    /// Returns a receiver that sees whether the run has to leave its engine.
-    pub fn evacuation(&self) -> watch::Receiver<Evacuate> {
+    /// Returns a receiver of the evacuation state.
+    pub fn evacuation(&self) -> watch::Receiver<EvacuationState> {
         self.evacuation.subscribe()
     }
 
-    /// Returns how many readers follow the answer.
+    /// Returns the number of readers of the answer.
     pub fn readers(&self) -> usize {
         self.readers.load(Ordering::Relaxed)
     }
 
-    /// Returns how many tokens there are so far.
+    /// Returns the number of tokens so far.
     pub fn len(&self) -> usize {
         self.lock().tokens.len()
     }
@@ -292,7 +294,7 @@
         if !self.is_empty() {
             return Ran::Yes;
         }
-        // What an earlier owner has written to an engine is not known here.
+        // This node does not know what an earlier owner has sent to an engine.
         let may_have_run = self.is_started() || self.may_have_run.load(Ordering::Relaxed);
         if may_have_run { Ran::Unknown } else { Ran::No }
     }
@@ -313,14 +315,14 @@
 pub struct Reader {
     answer: Arc<Answer>,
     next: usize,
-    seen: Option<Place>,
+    seen: Option<TokenPosition>,
     length: watch::Receiver<usize>,
     done: bool,
 }
 
 impl Reader {
-    /// Returns this reader, which saw the text up to `seen` elsewhere.
-    pub fn after(mut self, seen: Option<Place>) -> Reader {
+    /// Sets the position up to which the reader has already received the text.
+    pub fn after(mut self, seen: Option<TokenPosition>) -> Reader {
         self.seen = seen;
         self
     }
@@ -330,11 +332,11 @@
         &self.answer
     }
 
-    /// Waits until something is there and returns all of it; empty once the end was returned.
+    /// Waits for new parts and returns all of them; returns none after the end has been returned.
     pub async fn next(&mut self) -> Vec<Part> {
         while !self.done {
             self.length.borrow_and_update();
-            let parts = self.ready();
+            let parts = self.take_ready();
             if !parts.is_empty() {
                 return parts;
             }
@@ -345,8 +347,8 @@
         Vec::new()
     }
 
-    /// Waits until the next token or the end is there, without taking it.
-    pub async fn ready_or_ended(&mut self) {
+    /// Waits until the next token or the end is available, without consuming it.
+    pub async fn wait_ready(&mut self) {
         loop {
             self.length.borrow_and_update();
             if self.next < self.answer.len() || self.answer.ended().is_some() {
@@ -358,7 +360,7 @@
         }
     }
 
-    fn ready(&mut self) -> Vec<Part> {
+    fn take_ready(&mut self) -> Vec<Part> {
         let state = self.answer.lock();
         let mut parts = Vec::new();
         if let Some(seen) = self.seen {
@@ -373,8 +375,8 @@
             }
         }
         for (number, token) in state.tokens.iter().enumerate().skip(self.next) {
-            let place = Place { number, check: state.checks[number] };
-            parts.push(Part::Token(place, token.clone()));
+            let position = TokenPosition { number, check: state.checks[number] };
+            parts.push(Part::Token(position, token.clone()));
         }
         self.next = self.next.max(state.tokens.len());
         if let Some(end) = &state.end {
@@ -391,7 +393,7 @@
     }
 }
 
-/// Returns the check over a text that goes on with `token`.
-pub fn check_after(before: u32, token: &str) -> u32 {
+/// Returns the checksum of a text with checksum `before` that continues with `token`.
+pub fn next_check(before: u32, token: &str) -> u32 {
     xxh3_64_with_seed(token.as_bytes(), u64::from(before)) as u32
 }
--- a/crates/daemon/src/answers/mod.rs
+++ b/crates/daemon/src/answers/mod.rs
@@ -1,7 +1,7 @@
-//! Answers in progress and finished ones that late readers may still ask for.
+//! Answers in progress, and finished ones that are kept for late readers.
 
 mod answer;
 mod registry;
 
-pub use answer::{Answer, AnswerEnd, Evacuate, Part, Place, Reader};
+pub use answer::{Answer, AnswerEnd, EvacuationState, Part, Reader, TokenPosition};
 pub use registry::Answers;
--- a/crates/daemon/src/answers/registry.rs
+++ b/crates/daemon/src/answers/registry.rs
@@ -1,4 +1,4 @@
-//! The answers that a node holds, finished ones for a bounded time.
+//! The registry of a node's answers; finished ones are kept for a limited time.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -11,13 +11,13 @@
 use crate::answers::Answer;
 
 /// How long a finished answer is kept for late readers.
-const KEPT_FOR: Duration = Duration::from_secs(300);
-/// The most finished answers that are kept.
-const KEPT: usize = 20_000;
-/// The most bytes of finished answers that are kept.
-const KEPT_BYTES: usize = 16 << 20;
+const FINISHED_RETENTION: Duration = Duration::from_secs(300);
+/// The maximum number of finished answers that are kept.
+const MAX_FINISHED: usize = 20_000;
+/// The maximum total size of the finished answers that are kept, in bytes.
+const MAX_FINISHED_BYTES: usize = 16 << 20;
 
-/// `Answers` are the answers that a node holds, by request.
+/// An `Answers` is the registry of a node's answers, by request.
 #[derive(Default)]
 pub struct Answers {
     state: Mutex<State>,
@@ -31,17 +31,17 @@
 }
 
 impl Answers {
-    /// Takes an answer in.
+    /// Adds an answer.
     pub fn insert(&self, answer: Arc<Answer>) {
         self.lock().by_id.insert(answer.id(), answer);
     }
 
-    /// Gets an answer.
+    /// Returns the answer to a request.
     pub fn get(&self, id: RequestId) -> Option<Arc<Answer>> {
         self.lock().by_id.get(&id).cloned()
     }
 
-    /// Notes that an answer has ended and lets go of the oldest ended ones.
+    /// Records that an answer has ended and evicts the oldest finished ones over the limits.
     pub fn finished(&self, now: Stamp, id: RequestId) {
         let mut state = self.lock();
         let Some(answer) = state.by_id.get(&id) else { return };
@@ -49,13 +49,13 @@
         state.bytes += bytes;
         state.finished.push_back((now, id, bytes));
         while let Some(&(at, oldest, bytes)) = state.finished.front() {
-            let fits = state.finished.len() <= KEPT && state.bytes <= KEPT_BYTES;
-            if now.since(at) < KEPT_FOR && fits {
+            let fits = state.finished.len() <= MAX_FINISHED && state.bytes <= MAX_FINISHED_BYTES;
+            if now.since(at) < FINISHED_RETENTION && fits {
                 break;
             }
             state.finished.pop_front();
             state.bytes -= bytes;
-            // The request may have come back in the meantime and run again.
+            // The request may have been handed back to this node in the meantime and run again.
             if state.by_id.get(&oldest).is_some_and(|answer| answer.ended().is_some()) {
                 state.by_id.remove(&oldest);
             }
@@ -68,12 +68,12 @@
         state.by_id.values().filter(|answer| answer.ended().is_none()).cloned().collect()
     }
 
-    /// Lets go of an answer.
+    /// Removes an answer.
     pub fn remove(&self, id: RequestId) {
         self.lock().by_id.remove(&id);
     }
 
-    /// Returns how many answers have not ended.
+    /// Returns the number of answers that have not ended.
     pub fn unfinished(&self) -> usize {
         self.lock().by_id.values().filter(|answer| answer.ended().is_none()).count()
     }
--- a/crates/daemon/src/callers/admit.rs
+++ b/crates/daemon/src/callers/admit.rs
@@ -1,4 +1,4 @@
-//! The third filter: whether a request is accepted.
+//! The admission filter: accepts a request, or refuses it.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     callers::{
         ApiCode, ApiError,
         classify::Classified,
-        limit::Place,
+        limit::TeamReservation,
         relay::{self, Run},
     },
     context::Context,
@@ -25,17 +25,20 @@
     telemetry::trace_parent,
 };
 
-/// Accepts a request and starts its run, or refuses it.
+/// Accepts a request and starts running it, or refuses it.
 pub async fn admit(
     cx: &Arc<Context>,
     team: TeamName,
     request: Classified,
 ) -> Result<Arc<Answer>, ApiError> {
     if cx.is_leaving() {
-        return Err(ApiError::not_run(ApiCode::Leaving, "the node takes no new work"));
+        return Err(ApiError::not_run(
+            ApiCode::Leaving,
+            "the node is leaving and takes no new requests",
+        ));
     }
-    let mut place = Place::take(cx, &team, &request)?;
-    let pending = ask(cx, &team, &request, Standing::New, &[]).await?;
+    let mut reservation = TeamReservation::reserve(cx, &team, &request)?;
+    let queued = enqueue(cx, &team, &request, AdmissionStatus::New, &[]).await?;
     let id = cx.next_request();
     let portable = Portable { team, request, trace_parent: trace_parent() };
     let answer = portable.answer(id);
@@ -45,25 +48,26 @@
 
     let (copied_tx, copied) = oneshot::channel();
     let accept = Accept { id, body, copied: copied_tx };
-    let stopping = |_| ApiError::not_run(ApiCode::Leaving, "the node is stopping");
+    let stopping = |_| ApiError::not_run(ApiCode::Leaving, "the node is shutting down");
     cx.ownership.send(accept).await.map_err(stopping)?;
     let version = Version { epoch: 1, generation: 0, owner: cx.incarnation };
     let emitted = Vec::new();
     let run = Run { portable, answer: Arc::clone(&answer), version, emitted, cause: Cause::Engine };
-    place.accept();
-    let running = relay::traced(Arc::clone(cx), run, Some(pending));
+    reservation.commit();
+    let running = relay::run_traced(Arc::clone(cx), run, Some(queued));
     tokio::spawn(
         async move {
             running.await;
-            drop(place);
+            drop(reservation);
         }
         .in_current_span(),
     );
 
-    // The caller is told nothing before a peer has a copy: what it is told is accepted must
-    // outlive this node. The run starts meanwhile, so the copy costs no time to the first token.
+    // The caller gets no confirmation before a peer has a copy, since an accepted request must
+    // survive the loss of this node. The run starts concurrently, so that copying does not delay
+    // the first token.
     let stopped = |_| {
-        let error = ApiError::not_run(ApiCode::Leaving, "the node is stopping");
+        let error = ApiError::not_run(ApiCode::Leaving, "the node is shutting down");
         error.ran(Ran::Unknown)
     };
     if copied.await.map_err(stopped)? == CopyLocation::Nowhere {
@@ -73,31 +77,31 @@
     Ok(answer)
 }
 
-/// A `Pending` is a request that waits for its place.
-pub struct Pending {
-    /// Its ticket.
+/// A `QueuedRequest` is a request that waits in the queue for an engine.
+pub struct QueuedRequest {
+    /// Its ticket in the queue.
     pub ticket: Ticket,
-    /// Gets the place once there is one.
+    /// Receives the placement once there is one.
     pub start: oneshot::Receiver<Start>,
 }
 
-/// A `Standing` tells whether a request may still be refused.
+/// An `AdmissionStatus` tells whether a request may still be refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It may.
+pub enum AdmissionStatus {
+    /// The request is new and may be refused.
     New,
-    /// It was accepted before and must be run.
+    /// The request was accepted before and must be run.
     Accepted,
 }
 
-/// Asks for a place in the queue.
-pub async fn ask(
+/// Submits a request to the queue.
+pub async fn enqueue(
     cx: &Context,
     team: &TeamName,
     request: &Classified,
-    standing: Standing,
+    status: AdmissionStatus,
     avoid: &[WorkerKey],
-) -> Result<Pending, ApiError> {
+) -> Result<QueuedRequest, ApiError> {
     let now = cx.clock.now();
     let (accepted_tx, accepted) = oneshot::channel();
     let (start_tx, start) = oneshot::channel();
@@ -109,7 +113,7 @@
             tokens: request.prompt_tokens + request.max_tokens,
             first_token_by: now + request.first_token,
             deadline: now + request.deadline,
-            accepted: standing == Standing::Accepted,
+            accepted: status == AdmissionStatus::Accepted,
         },
         req: PlacementRequest {
             prefix: block_hashes(&request.prompt),
@@ -121,10 +125,11 @@
         accepted: accepted_tx,
         start: start_tx,
     };
-    let gone = || ApiError::not_run(ApiCode::Leaving, "the node is stopping").ran(Ran::No);
-    cx.dispatcher.send(submit).await.map_err(|_| gone())?;
-    match accepted.await.map_err(|_| gone())? {
-        Verdict::Accepted(ticket) => Ok(Pending { ticket, start }),
+    let node_stopping =
+        || ApiError::not_run(ApiCode::Leaving, "the node is shutting down").ran(Ran::No);
+    cx.dispatcher.send(submit).await.map_err(|_| node_stopping())?;
+    match accepted.await.map_err(|_| node_stopping())? {
+        Verdict::Accepted(ticket) => Ok(QueuedRequest { ticket, start }),
         Verdict::Refused(after) => {
             let error = ApiError::not_run(ApiCode::Overloaded, "the queue is full");
             Err(error.retry_after(after))
--- a/crates/daemon/src/callers/chat.rs
+++ b/crates/daemon/src/callers/chat.rs
@@ -9,14 +9,14 @@
 use crate::{
     callers::{
         ApiError, admit,
-        classify::{Delivery, Patience, classify},
+        classify::{DefaultClass, Delivery, classify},
         events,
         identify::identify,
     },
     context::Context,
 };
 
-/// Answers a chat request, whole or as a stream.
+/// Answers a chat request, as one body or as a stream.
 pub async fn complete(
     cx: &Arc<Context>,
     parts: &Parts,
@@ -24,12 +24,12 @@
 ) -> Result<Response<Body>, ApiError> {
     let in_force = cx.in_force();
     let team = identify(&in_force.deployment, parts)?;
-    let request = classify(&in_force.deployment, parts, &body, Patience::Urgent)?;
+    let request = classify(&in_force.deployment, parts, &body, DefaultClass::MostUrgent)?;
     let delivery = request.delivery;
     let answer = admit::admit(cx, team, request).await?;
-    answer.set_attended();
+    answer.set_needs_reader();
     match delivery {
-        Delivery::Whole => events::whole(&answer).await,
+        Delivery::Whole => events::complete_response(&answer).await,
         Delivery::Streamed | Delivery::StreamedWithUsage => {
             Ok(events::stream_from(&answer, 0, delivery))
         }
--- a/crates/daemon/src/callers/classify.rs
+++ b/crates/daemon/src/callers/classify.rs
@@ -1,4 +1,4 @@
-//! The second filter: what a model request asks for and how urgent it is.
+//! The second filter: parses a model request and determines its class.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 
 /// The header that names the class of a request.
 const CLASS_HEADER: &str = "x-request-class";
-/// The most tokens of an answer when the caller names no limit.
-const DEFAULT_TOKENS: u32 = 256;
+/// The maximum number of answer tokens when the caller sets no limit.
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// A `Classified` is a model request as the rest of the pipeline sees it.
+/// A `Classified` is a parsed model request with the settings of its class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Classified {
     /// The model.
@@ -25,15 +25,15 @@
     pub class: ClassName,
     /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// The time within which the first token is to come.
+    /// The time within which the first token is due.
     pub first_token: Duration,
-    /// The time within which the whole answer is to come.
+    /// The time within which the complete answer is due.
     pub deadline: Duration,
     /// The prompt.
     pub prompt: String,
-    /// The estimated tokens of the prompt.
+    /// The estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// The most tokens of the answer.
+    /// The maximum number of answer tokens.
     pub max_tokens: u32,
     /// How the answer is to be sent.
     pub delivery: Delivery,
@@ -42,21 +42,21 @@
 /// A `Delivery` is how an answer is to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delivery {
-    /// As a whole.
+    /// As one body.
     Whole,
     /// As a stream of events.
     Streamed,
-    /// As a stream of events that ends with usage figures.
+    /// As a stream of events that ends with the token usage.
     StreamedWithUsage,
 }
 
-/// A `Patience` tells which class a request has that names none.
+/// A `DefaultClass` selects the class of a request that names none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Patience {
+pub enum DefaultClass {
     /// The most urgent class.
-    Urgent,
+    MostUrgent,
     /// The least urgent class.
-    Patient,
+    LeastUrgent,
 }
 
 #[derive(Deserialize)]
@@ -99,12 +99,12 @@
     text: Option<String>,
 }
 
-/// Returns what a model request asks for.
+/// Parses a model request and looks up its model and class.
 pub fn classify(
     deployment: &Deployment,
     parts: &Parts,
     body: &Bytes,
-    patience: Patience,
+    default_class: DefaultClass,
 ) -> Result<Classified, ApiError> {
     let body: ChatBody = serde_json::from_slice(body)
         .map_err(|error| ApiError::not_run(ApiCode::MalformedJson, error.to_string()))?;
@@ -112,14 +112,15 @@
         return Err(ApiError::not_run(ApiCode::InvalidValue, "messages is empty"));
     }
     let (model, cfg) = find_model(deployment, &body.model)?;
-    let (class, class_cfg) = find_class(deployment, parts, patience)?;
+    let (class, class_cfg) = find_class(deployment, parts, default_class)?;
 
-    let asked = body.max_completion_tokens.or(body.max_tokens).unwrap_or(DEFAULT_TOKENS);
-    if asked == 0 {
+    let requested = body.max_completion_tokens.or(body.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS);
+    if requested == 0 {
         return Err(ApiError::not_run(ApiCode::InvalidValue, "max_tokens must be at least 1"));
     }
-    let prompt = prompt_of(&body.messages);
-    let usage = body.stream_options.and_then(|options| options.include_usage).unwrap_or(false);
+    let prompt = build_prompt(&body.messages);
+    let include_usage =
+        body.stream_options.and_then(|options| options.include_usage).unwrap_or(false);
     Ok(Classified {
         model,
         service: cfg.service.clone(),
@@ -129,8 +130,8 @@
         deadline: class_cfg.deadline.into(),
         prompt_tokens: token::estimate(prompt.len()),
         prompt,
-        max_tokens: asked.min(cfg.max_tokens),
-        delivery: match (body.stream.unwrap_or(false), usage) {
+        max_tokens: requested.min(cfg.max_tokens),
+        delivery: match (body.stream.unwrap_or(false), include_usage) {
             (false, _) => Delivery::Whole,
             (true, false) => Delivery::Streamed,
             (true, true) => Delivery::StreamedWithUsage,
@@ -149,13 +150,13 @@
     Ok((model, cfg))
 }
 
-/// Returns the class that a request names, or the one that its patience asks for.
+/// Returns the class that a request names, or the default class if it names none.
 pub(crate) fn find_class<'a>(
     deployment: &'a Deployment,
     parts: &Parts,
-    patience: Patience,
+    default_class: DefaultClass,
 ) -> Result<(ClassName, &'a bulrushhall_core::config::ClassConfig), ApiError> {
-    let unknown = || ApiError::not_run(ApiCode::UnknownClass, "no class has the given name");
+    let unknown = || ApiError::not_run(ApiCode::UnknownClass, "the request class does not exist");
     let named = parts.headers.get(CLASS_HEADER).and_then(|name| name.to_str().ok());
     if let Some(named) = named {
         let class = ClassName::new(named).map_err(|_| unknown())?;
@@ -163,14 +164,14 @@
         return Ok((class, cfg));
     }
     let classes = deployment.classes.iter();
-    let found = match patience {
-        Patience::Urgent => classes.min_by_key(|(_, cfg)| cfg.priority),
-        Patience::Patient => classes.max_by_key(|(_, cfg)| cfg.priority),
+    let found = match default_class {
+        DefaultClass::MostUrgent => classes.min_by_key(|(_, cfg)| cfg.priority),
+        DefaultClass::LeastUrgent => classes.max_by_key(|(_, cfg)| cfg.priority),
     };
     found.map(|(name, cfg)| (name.clone(), cfg)).ok_or_else(unknown)
 }
 
-fn prompt_of(messages: &[Message]) -> String {
+fn build_prompt(messages: &[Message]) -> String {
     let mut prompt = String::new();
     for message in messages {
         prompt.push_str(&message.role);
--- a/crates/daemon/src/callers/entries.rs
+++ b/crates/daemon/src/callers/entries.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/entries`: which addresses a caller should use.
+//! `GET /v1/entries`: the node addresses that a caller should use.
 
 use std::net::SocketAddr;
 
@@ -20,19 +20,19 @@
     members::Member,
 };
 
-/// How long a caller may keep the answer, in milliseconds.
+/// How long a caller may cache the list, in milliseconds.
 ///
-/// A caller with an old answer still reaches someone: its addresses lie in two zones, and a zone's
-/// worth of nodes that leaves is answered for by the other for longer than this.
+/// A caller with an outdated list still reaches a node: its addresses lie in two zones, and when
+/// the nodes of one zone leave, those of the other keep serving for longer than this.
 const TIME_TO_LIVE_MS: u64 = 10_000;
-/// How long a caller may keep an answer without addresses, in milliseconds.
+/// How long a caller may cache an empty list, in milliseconds.
 const EMPTY_TIME_TO_LIVE_MS: u64 = 1_000;
-/// The headers that tell callers of one address apart.
+/// The headers that distinguish callers with the same IP address.
 const CALLER_HEADERS: [&str; 2] = ["x-team", "authorization"];
 
-/// Lists the addresses that take requests.
+/// Lists the addresses of nodes that accept requests.
 pub fn list(cx: &Context, parts: &Parts) -> Result<Response<Body>, ApiError> {
-    let entries = entries(cx, caller_of(parts));
+    let entries = entries(cx, caller_hash(parts));
     let time_to_live_ms = if entries.is_empty() { EMPTY_TIME_TO_LIVE_MS } else { TIME_TO_LIVE_MS };
     let revision = cx.in_force().revision;
     Ok(respond::json(&EntryList { entries, time_to_live_ms, revision }))
@@ -48,8 +48,9 @@
     members.retain(|member| !member.leaving);
     let candidates: Vec<Candidate> = members.iter().map(candidate).collect();
     let ordered = order(caller, &candidates, MAX_ADDRESSES);
-    let ordered = ordered.into_iter().filter_map(|chosen| find(&members, chosen.incarnation));
-    ordered.map(entry).collect()
+    let ordered =
+        ordered.into_iter().filter_map(|chosen| find_member(&members, chosen.incarnation));
+    ordered.map(entry_point).collect()
 }
 
 fn candidate(member: &Member) -> Candidate {
@@ -61,11 +62,11 @@
     }
 }
 
-fn find(members: &[Member], incarnation: Incarnation) -> Option<&Member> {
+fn find_member(members: &[Member], incarnation: Incarnation) -> Option<&Member> {
     members.iter().find(|member| member.incarnation == incarnation)
 }
 
-fn entry(member: &Member) -> EntryPoint {
+fn entry_point(member: &Member) -> EntryPoint {
     EntryPoint {
         node: member.node.clone(),
         zone: member.zone.clone(),
@@ -75,8 +76,8 @@
     }
 }
 
-// The port is left out: it changes with every connection, the caller does not.
-fn caller_of(parts: &Parts) -> u64 {
+// The port is left out, since it differs between connections of the same caller.
+fn caller_hash(parts: &Parts) -> u64 {
     let mut hasher = Xxh3::new();
     if let Some(remote) = parts.extensions.get::<SocketAddr>() {
         hasher.update(remote.ip().to_string().as_bytes());
--- a/crates/daemon/src/callers/error.rs
+++ b/crates/daemon/src/callers/error.rs
@@ -1,4 +1,4 @@
-//! The errors that callers are given.
+//! The errors that are returned to callers.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// An `ApiError` is a failed request, as its caller is told.
+/// An `ApiError` is the error that the caller of a failed request receives.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApiError {
-    /// What is wrong.
+    /// The kind of the error.
     pub code: ApiCode,
-    /// What is wrong, in words for a person.
+    /// A description for people.
     pub message: String,
     /// Whether a backend server may have run the request.
     pub ran: Ran,
-    /// When the caller may come back, where that can be told.
+    /// After which time the caller may retry, if that is known.
     pub retry_after: Option<Duration>,
 }
 
-/// An `ApiCode` is the kind of a failed request.
+/// An `ApiCode` is the kind of an [`ApiError`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ApiCode {
@@ -31,57 +31,57 @@
     MalformedJson,
     /// The body is larger than allowed.
     BodyTooLarge,
-    /// The body did not arrive in time or not whole.
+    /// The body did not arrive in time or is incomplete.
     BodyIncomplete,
-    /// The key names no team.
+    /// The credentials do not identify a team.
     UnknownKey,
-    /// No model has the given name.
+    /// There is no model of the given name.
     ModelNotFound,
-    /// No class has the given name.
+    /// There is no class of the given name.
     UnknownClass,
-    /// No service has the given name.
+    /// There is no service of the given name.
     ServiceNotFound,
-    /// Nothing is known under the path.
+    /// The path does not exist.
     NotFound,
-    /// The path does not take the method.
+    /// The path does not accept the method.
     MethodNotAllowed,
-    /// A non-repeatable call came without a key.
+    /// A call that is not idempotent has no idempotency key.
     MissingIdempotencyKey,
-    /// The key was used for another body.
+    /// The idempotency key was used for a different call.
     KeyReused,
-    /// A call with the same key still runs.
+    /// A call with the same idempotency key is still running.
     KeyInProgress,
-    /// The ticket belongs to another life of a node.
+    /// The node incarnation that the ticket or key belongs to cannot be reached.
     StaleTicket,
-    /// No request of the caller has the id.
+    /// The caller's team has no request with the id.
     RequestNotFound,
     /// The queue has no room for the request.
     Overloaded,
     /// The team is over one of its limits.
     TeamLimit,
-    /// The node takes no new work.
+    /// The node is leaving and takes no new requests.
     Leaving,
     /// The deadline has passed.
     DeadlinePassed,
     /// No backend server could be reached.
     Unavailable,
-    /// The backend server failed within the call.
+    /// The backend server failed during the call.
     BackendFailed,
     /// The caller cancelled the request.
     Cancelled,
-    /// A value in the request is outside of what is allowed.
+    /// A value in the request is not allowed.
     InvalidValue,
-    /// What the reader saw of an answer is not the beginning of the answer that goes on.
+    /// The part of an answer that the reader has seen is not the beginning of the current answer.
     StreamDiverged,
 }
 
 #[derive(Serialize)]
-struct Envelope<'a> {
-    error: Inner<'a>,
+struct ErrorEnvelope<'a> {
+    error: ErrorBody<'a>,
 }
 
 #[derive(Serialize)]
-struct Inner<'a> {
+struct ErrorBody<'a> {
     #[serde(rename = "type")]
     kind: &'static str,
     code: ApiCode,
@@ -95,12 +95,12 @@
         ApiError { code, message: message.into(), ran: Ran::No, retry_after: None }
     }
 
-    /// Returns this error with whether the request may have run.
+    /// Sets whether the request may have run.
     pub fn ran(self, ran: Ran) -> ApiError {
         ApiError { ran, ..self }
     }
 
-    /// Returns this error with the time after which the caller may come back.
+    /// Sets the time after which the caller may retry.
     pub fn retry_after(self, after: Duration) -> ApiError {
         ApiError { retry_after: Some(after), ..self }
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Returns the JSON text that a caller is sent.
+    /// Returns the error as the JSON body of a response.
     pub fn to_json(&self) -> Vec<u8> {
         let kind = match self.status() {
             StatusCode::TOO_MANY_REQUESTS => "rate_limit_error",
@@ -140,22 +140,22 @@
             status if status.is_client_error() => "invalid_request_error",
             _ => "server_error",
         };
-        let inner = Inner { kind, code: self.code, message: &self.message, ran: self.ran };
-        // The envelope holds only text, for which serialization cannot fail.
-        serde_json::to_vec(&Envelope { error: inner }).unwrap_or_default()
+        let body = ErrorBody { kind, code: self.code, message: &self.message, ran: self.ran };
+        // The envelope holds only text, whose serialization cannot fail.
+        serde_json::to_vec(&ErrorEnvelope { error: body }).unwrap_or_default()
     }
 
-    /// Returns the HTTP answer.
+    /// Returns the error as an HTTP response.
     pub fn into_response(self) -> Response<Body> {
-        let mut answer = Response::new(full(self.to_json()));
-        *answer.status_mut() = self.status();
-        let headers = answer.headers_mut();
+        let mut response = Response::new(full(self.to_json()));
+        *response.status_mut() = self.status();
+        let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         if let Some(after) = self.retry_after {
             let seconds = after.as_secs() + u64::from(0 < after.subsec_nanos());
             headers.insert(RETRY_AFTER, HeaderValue::from(seconds.max(1)));
         }
-        answer
+        response
     }
 }
 
--- a/crates/daemon/src/callers/events.rs
+++ b/crates/daemon/src/callers/events.rs
@@ -1,4 +1,4 @@
-//! Answers as the public chat convention has them, whole and as server-sent events.
+//! Answers in the format of the public chat completion API, as one body and as server-sent events.
 
 use std::sync::Arc;
 
@@ -23,20 +23,19 @@
 
 /// The header that carries the id of an accepted request.
 pub const REQUEST_HEADER: HeaderName = HeaderName::from_static("x-request-id");
-
-/// The header that tells that no other node has a copy of an accepted request.
+/// The header that is set when no other node has a copy of an accepted request.
 pub const COPIES_HEADER: HeaderName = HeaderName::from_static("x-copies");
-/// When a caller whose answer went on elsewhere may ask for it there.
+/// After which time a caller whose answer is continued by another node may retry there.
 const MOVED_RETRY: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// The seconds since 1970 that answers carry.
+/// Returns the `created` time of answers, in seconds since the Unix epoch.
 pub fn created() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.map_or(0, |since| since.as_secs())
 }
 
-/// Returns the answer as one JSON body once it is whole.
-pub async fn whole(answer: &Arc<Answer>) -> Result<Response<Body>, ApiError> {
+/// Returns the answer as one JSON body once it is complete.
+pub async fn complete_response(answer: &Arc<Answer>) -> Result<Response<Body>, ApiError> {
     let mut reader = answer.read_from(0);
     let mut text = String::new();
     loop {
@@ -44,11 +43,11 @@
             match part {
                 Part::Token(_, token) => text.push_str(&token),
                 Part::End(AnswerEnd::Failed(error)) => return Err(error),
-                Part::Diverged => return Err(diverged()),
-                Part::End(AnswerEnd::Moved(address)) => return Err(moved_on(answer, address)),
+                Part::Diverged => return Err(diverged_error()),
+                Part::End(AnswerEnd::Moved(address)) => return Err(moved_error(answer, address)),
                 Part::End(AnswerEnd::Whole(usage)) => {
                     let mut res = respond::json(&completion(answer, &text, usage));
-                    set_request(&mut res, answer);
+                    set_request_headers(&mut res, answer);
                     return Ok(res);
                 }
             }
@@ -56,12 +55,12 @@
     }
 }
 
-/// Returns the answer as server-sent events from token number `next` on, as they come.
+/// Returns the answer as a stream of server-sent events from token number `next` on.
 pub fn stream_from(answer: &Arc<Answer>, next: usize, delivery: Delivery) -> Response<Body> {
     stream(answer.read_from(next), next, delivery)
 }
 
-/// Returns what `reader` gets as server-sent events; it starts at token number `next`.
+/// Returns the parts that `reader` receives as server-sent events, from token number `next` on.
 pub fn stream(reader: Reader, next: usize, delivery: Delivery) -> Response<Body> {
     let answer = &Arc::clone(reader.answer());
     let chunks = stream::unfold((reader, next == 0), move |(mut reader, first)| async move {
@@ -72,10 +71,10 @@
         let mut buf = BytesMut::new();
         if first {
             let role = json!({ "role": "assistant", "content": "" });
-            put_event(&mut buf, None, &chunk(reader.answer(), role, None, None));
+            write_event(&mut buf, None, &chunk(reader.answer(), role, None, None));
         }
         for part in parts {
-            put_part(&mut buf, &reader, part, delivery);
+            write_part(&mut buf, &reader, part, delivery);
         }
         Some((buf.freeze(), (reader, false)))
     });
@@ -84,12 +83,12 @@
     let headers = res.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-cache"));
-    set_request(&mut res, answer);
+    set_request_headers(&mut res, answer);
     res
 }
 
-/// Puts the id of a request into the headers of an answer.
-pub fn set_request(res: &mut Response<Body>, answer: &Answer) {
+/// Sets the headers that carry the id of a request and whether it is copied.
+pub fn set_request_headers(res: &mut Response<Body>, answer: &Answer) {
     if let Ok(id) = HeaderValue::from_str(&answer.id().to_string()) {
         res.headers_mut().insert(REQUEST_HEADER, id);
     }
@@ -98,7 +97,7 @@
     }
 }
 
-/// Returns the whole answer in the form of the public chat convention.
+/// Returns the complete answer in the format of the public chat completion API.
 pub fn completion(answer: &Answer, text: &str, usage: Usage) -> serde_json::Value {
     json!({
         "id": answer.id().to_string(),
@@ -108,22 +107,22 @@
         "choices": [{
             "index": 0,
             "message": { "role": "assistant", "content": text },
-            "finish_reason": finish_reason(usage),
+            "finish_reason": finish_reason_of(usage),
         }],
-        "usage": usage_figures(usage),
+        "usage": usage_json(usage),
     })
 }
 
-fn put_part(buf: &mut BytesMut, reader: &Reader, part: Part, delivery: Delivery) {
+fn write_part(buf: &mut BytesMut, reader: &Reader, part: Part, delivery: Delivery) {
     let answer = reader.answer();
     match part {
-        Part::Token(place, token) => {
-            let position = StreamPosition { request: answer.id(), number: place.number as u64 };
+        Part::Token(at, token) => {
+            let position = StreamPosition { request: answer.id(), number: at.number as u64 };
             let delta = json!({ "content": token });
-            let id = format!("{position}:{:x}", place.check);
-            put_event(buf, Some(&id), &chunk(answer, delta, None, None));
+            let id = format!("{position}:{:x}", at.check);
+            write_event(buf, Some(&id), &chunk(answer, delta, None, None));
         }
-        Part::Diverged => put_error(buf, &diverged()),
+        Part::Diverged => write_error(buf, &diverged_error()),
         Part::End(AnswerEnd::Moved(address)) => {
             let path = format!("/v1/requests/{}/stream", answer.id());
             let moved = json!({ "request": answer.id(), "address": address, "path": path });
@@ -132,37 +131,37 @@
             buf.put_slice(b"\n\n");
         }
         Part::End(AnswerEnd::Whole(usage)) => {
-            let reason = Some(finish_reason(usage));
-            put_event(buf, None, &chunk(answer, json!({}), reason, None));
+            let reason = Some(finish_reason_of(usage));
+            write_event(buf, None, &chunk(answer, json!({}), reason, None));
             if delivery == Delivery::StreamedWithUsage {
                 let mut last = chunk(answer, json!({}), None, Some(usage));
                 last["choices"] = json!([]);
-                put_event(buf, None, &last);
+                write_event(buf, None, &last);
             }
             buf.put_slice(b"data: [DONE]\n\n");
         }
-        Part::End(AnswerEnd::Failed(error)) => put_error(buf, &error),
+        Part::End(AnswerEnd::Failed(error)) => write_error(buf, &error),
     }
 }
 
-fn put_error(buf: &mut BytesMut, error: &ApiError) {
+fn write_error(buf: &mut BytesMut, error: &ApiError) {
     buf.put_slice(b"event: error\ndata: ");
     buf.put_slice(&error.to_json());
     buf.put_slice(b"\n\n");
 }
 
-fn diverged() -> ApiError {
-    let message = "the answer was written anew with other words; read it from its beginning";
+fn diverged_error() -> ApiError {
+    let message = "the answer was regenerated with a different text; read it from the beginning";
     ApiError::not_run(ApiCode::StreamDiverged, message).ran(Ran::Yes)
 }
 
-fn moved_on(answer: &Answer, address: std::net::SocketAddr) -> ApiError {
-    let message = format!("the answer {} goes on at {address}", answer.id());
+fn moved_error(answer: &Answer, address: std::net::SocketAddr) -> ApiError {
+    let message = format!("the answer {} is continued by the node at {address}", answer.id());
     let error = ApiError::not_run(ApiCode::Leaving, message);
     error.ran(Ran::Unknown).retry_after(MOVED_RETRY)
 }
 
-fn put_event(buf: &mut BytesMut, id: Option<&str>, value: &impl Serialize) {
+fn write_event(buf: &mut BytesMut, id: Option<&str>, value: &impl Serialize) {
     if let Some(id) = id {
         buf.put_slice(format!("id: {id}\n").as_bytes());
     }
@@ -186,16 +185,16 @@
         "choices": [{ "index": 0, "delta": delta, "finish_reason": reason }],
     });
     if let Some(usage) = usage {
-        value["usage"] = usage_figures(usage);
+        value["usage"] = usage_json(usage);
     }
     value
 }
 
-fn finish_reason(usage: Usage) -> &'static str {
+fn finish_reason_of(usage: Usage) -> &'static str {
     if usage.truncated { "length" } else { "stop" }
 }
 
-fn usage_figures(usage: Usage) -> serde_json::Value {
+fn usage_json(usage: Usage) -> serde_json::Value {
     json!({
         "prompt_tokens": usage.prompt_tokens,
         "completion_tokens": usage.completion_tokens,
--- a/crates/daemon/src/callers/limit.rs
+++ b/crates/daemon/src/callers/limit.rs
@@ -1,4 +1,4 @@
-//! The filter that holds teams to their limits.
+//! The filter that enforces the limits of teams.
 
 use std::sync::Arc;
 
@@ -10,42 +10,42 @@
     context::Context,
 };
 
-/// A `Place` is what a request takes of its team's limits, until it is dropped.
-pub struct Place {
+/// A `TeamReservation` is the share of its team's limits that a request holds until it is dropped.
+pub struct TeamReservation {
     cx: Arc<Context>,
     team: TeamName,
     tokens: u32,
     accepted: bool,
 }
 
-impl Place {
-    /// Takes a request of a team into account, or refuses it.
-    pub fn take(
+impl TeamReservation {
+    /// Counts a request against the limits of its team, or refuses it.
+    pub fn reserve(
         cx: &Arc<Context>,
         team: &TeamName,
         request: &Classified,
-    ) -> Result<Place, ApiError> {
+    ) -> Result<TeamReservation, ApiError> {
         let in_force = cx.in_force();
         let tokens = request.prompt_tokens.saturating_add(request.max_tokens);
-        // A team that was taken out of the configuration meanwhile has no limits to be held to.
+        // A team that has been removed from the configuration in the meantime has no limits.
         if let Some(limits) = in_force.deployment.teams.get(team) {
             let members = cx.members.current();
             let nodes = members.iter().filter(|member| !member.leaving).count() + 1;
             let now = cx.clock.now();
-            let entered =
+            let admitted =
                 with_limiter(cx, |limiter| limiter.admit(now, team, limits, nodes, tokens));
-            entered.map_err(refused)?;
+            admitted.map_err(limit_error)?;
         }
-        Ok(Place { cx: Arc::clone(cx), team: team.clone(), tokens, accepted: false })
+        Ok(TeamReservation { cx: Arc::clone(cx), team: team.clone(), tokens, accepted: false })
     }
 
-    /// Notes that the request is accepted; what it took over time stays taken.
-    pub fn accept(&mut self) {
+    /// Marks the request as accepted; its share of the rate limits is then not refunded.
+    pub fn commit(&mut self) {
         self.accepted = true;
     }
 }
 
-impl Drop for Place {
+impl Drop for TeamReservation {
     fn drop(&mut self) {
         with_limiter(&self.cx, |limiter| match self.accepted {
             true => limiter.release(&self.team),
@@ -54,15 +54,15 @@
     }
 }
 
-fn with_limiter<T>(cx: &Context, act: impl FnOnce(&mut TeamLimiter) -> T) -> T {
-    act(&mut cx.team_limiter.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
+fn with_limiter<T>(cx: &Context, update: impl FnOnce(&mut TeamLimiter) -> T) -> T {
+    update(&mut cx.team_limiter.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
 }
 
-fn refused(limited: LimitExceeded) -> ApiError {
-    let what = match limited.limit {
-        TeamLimit::Concurrency => "the team has too many requests at once",
-        TeamLimit::Requests => "the team has sent too many requests",
-        TeamLimit::Tokens => "the team has asked for too many tokens",
+fn limit_error(exceeded: LimitExceeded) -> ApiError {
+    let what = match exceeded.limit {
+        TeamLimit::Concurrency => "the team has too many concurrent requests",
+        TeamLimit::Requests => "the team is over its request rate limit",
+        TeamLimit::Tokens => "the team is over its token rate limit",
     };
-    ApiError::not_run(ApiCode::TeamLimit, what).retry_after(limited.retry_after)
+    ApiError::not_run(ApiCode::TeamLimit, what).retry_after(exceeded.retry_after)
 }
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -1,4 +1,5 @@
-//! The callers' port and the pipeline of a request, one filter a file.
+//! The HTTP port for callers and the request pipeline; each filter of the pipeline has its own
+//! file.
 
 mod admit;
 mod chat;
--- a/crates/daemon/src/callers/models.rs
+++ b/crates/daemon/src/callers/models.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/models`.
+//! `GET /v1/models` and `GET /v1/models/{model}`.
 
 use bulrushhall_core::ModelName;
 use bulrushhall_external::http::Body;
@@ -18,7 +18,7 @@
     Ok(respond::json(&json!({ "object": "list", "data": models })))
 }
 
-/// Shows one model.
+/// Returns one model.
 pub fn show(cx: &Context, parts: &Parts, model: &str) -> Result<Response<Body>, ApiError> {
     let in_force = cx.in_force();
     identify(&in_force.deployment, parts)?;
--- a/crates/daemon/src/callers/observe.rs
+++ b/crates/daemon/src/callers/observe.rs
@@ -1,4 +1,4 @@
-//! What is counted, measured and logged about each request of a caller.
+//! Metrics and trace spans of callers' requests.
 
 use std::{
     pin::Pin,
@@ -20,7 +20,7 @@
 
 use crate::{
     callers::{
-        classify::{Patience, find_class},
+        classify::{DefaultClass, find_class},
         identify::identify,
     },
     context::Context,
@@ -28,43 +28,43 @@
     telemetry::hop,
 };
 
-/// What stands for a team or class that a request does not have.
-const NONE: &str = "none";
+/// The label value of a request without a known team or class.
+const NO_LABEL: &str = "none";
 
-/// An `Observation` follows one request from its headers to the end of its answer.
+/// An `Observation` records metrics of one request from its headers to the end of its response.
 pub struct Observation {
     cx: Arc<Context>,
     team: Option<TeamName>,
     class: Option<ClassName>,
     started: Instant,
-    answered: Option<&'static str>,
+    outcome: Option<&'static str>,
 }
 
-struct Observed {
+struct ObservedBody {
     inner: Body,
     observation: Observation,
-    begun: bool,
+    first_byte_sent: bool,
     ended: bool,
 }
 
 impl Observation {
-    /// Begins with a request whose headers have arrived.
+    /// Starts observing a request whose headers have arrived.
     pub fn begin(cx: &Arc<Context>, parts: &Parts) -> Observation {
         let in_force = cx.in_force();
         let team = identify(&in_force.deployment, parts).ok();
-        let patience = match parts.uri.path() {
-            "/v1/chat/completions" => Some(Patience::Urgent),
-            "/v1/requests" => Some(Patience::Patient),
+        let default_class = match parts.uri.path() {
+            "/v1/chat/completions" => Some(DefaultClass::MostUrgent),
+            "/v1/requests" => Some(DefaultClass::LeastUrgent),
             _ => None,
         };
-        let class = patience.and_then(|patience| {
-            find_class(&in_force.deployment, parts, patience).map(|(class, _)| class).ok()
+        let class = default_class.and_then(|default_class| {
+            find_class(&in_force.deployment, parts, default_class).map(|(class, _)| class).ok()
         });
         cx.meters.shift(Metric::InFlight, 1.0);
-        Observation { cx: Arc::clone(cx), team, class, started: Instant::now(), answered: None }
+        Observation { cx: Arc::clone(cx), team, class, started: Instant::now(), outcome: None }
     }
 
-    /// Returns the span of the request at this node, a child of the caller's own where it has one.
+    /// Returns the span of the request at this node, a child of the caller's span if it sent one.
     pub fn span(&self, parts: &Parts) -> Span {
         let span = tracing::info_span!(
             "request",
@@ -78,31 +78,32 @@
         hop(span, &parts.headers)
     }
 
-    /// Goes on with the answer; it is over once the body has been sent or dropped.
-    pub fn follow(mut self, answer: Response<Body>) -> Response<Body> {
-        self.answered = Some(outcome_of(answer.status()));
-        let watch = |inner| {
-            let observed = Observed { inner, observation: self, begun: false, ended: false };
+    /// Attaches the observation to the response; it ends when the body has been sent or dropped.
+    pub fn attach(mut self, response: Response<Body>) -> Response<Body> {
+        self.outcome = Some(outcome_of(response.status()));
+        let observe_body = |inner| {
+            let observed =
+                ObservedBody { inner, observation: self, first_byte_sent: false, ended: false };
             observed.boxed_unsync()
         };
-        answer.map(watch)
+        response.map(observe_body)
     }
 
     fn team(&self) -> &str {
-        self.team.as_ref().map_or(NONE, TeamName::as_str)
+        self.team.as_ref().map_or(NO_LABEL, TeamName::as_str)
     }
 
     fn class(&self) -> &str {
-        self.class.as_ref().map_or(NONE, ClassName::as_str)
+        self.class.as_ref().map_or(NO_LABEL, ClassName::as_str)
     }
 }
 
-// A caller that goes away drops the answer at any point; the request must not stay counted as
-// being answered, so the end is noted where the observation is dropped.
+// A caller may disconnect at any point, which drops the response. The metrics are recorded on drop,
+// so that the request does not remain counted as in flight.
 impl Drop for Observation {
     fn drop(&mut self) {
         let meters = &self.cx.meters;
-        let outcome = self.answered.unwrap_or("abandoned");
+        let outcome = self.outcome.unwrap_or("abandoned");
         let labels = [("team", self.team()), ("class", self.class())];
         meters.shift(Metric::InFlight, -1.0);
         meters.time(Metric::RequestSeconds, &labels, self.started.elapsed());
@@ -111,15 +112,15 @@
     }
 }
 
-impl Drop for Observed {
+impl Drop for ObservedBody {
     fn drop(&mut self) {
         if !self.ended && !self.inner.is_end_stream() {
-            self.observation.answered = Some("abandoned");
+            self.observation.outcome = Some("abandoned");
         }
     }
 }
 
-impl hyper::body::Body for Observed {
+impl hyper::body::Body for ObservedBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -130,8 +131,8 @@
         let polled = Pin::new(&mut self.inner).poll_frame(cx);
         match &polled {
             Poll::Ready(None) => self.ended = true,
-            Poll::Ready(Some(Ok(_))) if !self.begun => {
-                self.begun = true;
+            Poll::Ready(Some(Ok(_))) if !self.first_byte_sent => {
+                self.first_byte_sent = true;
                 let observation = &self.observation;
                 let labels = [("team", observation.team()), ("class", observation.class())];
                 let time = observation.started.elapsed();
--- a/crates/daemon/src/callers/relay.rs
+++ b/crates/daemon/src/callers/relay.rs
@@ -1,4 +1,4 @@
-//! The filter that runs an accepted request on engines until its answer is whole.
+//! The filter that runs an accepted request on engines until its answer is complete.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,11 +14,11 @@
 use tracing::Instrument;
 
 use crate::{
-    answers::{Answer, AnswerEnd, Evacuate},
+    answers::{Answer, AnswerEnd, EvacuationState},
     backends::BackendClient,
     callers::{
         ApiCode, ApiError,
-        admit::{self, Pending, Standing},
+        admit::{self, AdmissionStatus, QueuedRequest},
         classify::Classified,
         settle,
     },
@@ -29,61 +29,64 @@
     telemetry::resume,
 };
 
-/// The pause before the next attempt when no engine takes work or one has just failed.
+/// The pause before the next attempt when no engine takes work or an attempt has just failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// The attempts that are counted for one epoch of ownership, so that a later owner's are higher.
+/// The attempt numbers that are reserved for one epoch of ownership, so that those of a later owner
+/// are always higher.
 const ATTEMPTS_PER_EPOCH: u32 = 1_000;
 
-/// A `Run` is an owned request that is to be run to its end.
+/// A `Run` is an owned request that is to be run to completion.
 pub struct Run {
-    /// What it asks for.
+    /// The request.
     pub portable: Portable,
-    /// Its answer, which fills as tokens are copied.
+    /// Its answer, to which tokens are added once they are copied.
     pub answer: Arc<Answer>,
-    /// The version under which the node owns it.
+    /// The version under which this node owns it.
     pub version: Version,
-    /// The tokens that an earlier owner has produced.
+    /// The tokens that earlier attempts and owners have produced.
     pub emitted: Vec<String>,
-    /// Why an earlier owner's run goes on here.
+    /// Why the run had to be resumed.
     pub cause: Cause,
 }
 
-/// Does what [`run`] does, in a span that belongs to the request's trace at each of its owners.
-pub async fn traced(cx: Arc<Context>, run: Run, pending: Option<Pending>) {
-    let (node, cause) = (&cx.settings.node.name, run.cause.word());
+/// Calls [`run`] in a span that belongs to the trace of the request, whichever node accepted it.
+pub async fn run_traced(cx: Arc<Context>, run: Run, queued: Option<QueuedRequest>) {
+    let (node, cause) = (&cx.settings.node.name, run.cause.as_str());
     let span = tracing::info_span!("run", %node, request = %run.answer.id(), cause);
     let span = resume(span, run.portable.trace_parent.as_deref());
-    self::run(cx, run, pending).instrument(span).await;
+    self::run(cx, run, queued).instrument(span).await;
 }
 
-/// Runs a request to its end, or until the node doesn't own it any more.
-pub async fn run(cx: Arc<Context>, mut run: Run, mut pending: Option<Pending>) {
+/// Runs a request to completion, or until this node stops owning it.
+pub async fn run(cx: Arc<Context>, mut run: Run, mut queued: Option<QueuedRequest>) {
     let answer = Arc::clone(&run.answer);
     let deadline = cx.clock.now() + run.portable.request.deadline;
     let mut avoid = Vec::new();
     let mut attempt = 0;
-    let mut cache = None;
+    let mut kv_cache = None;
 
     while answer.ended().is_none() && !answer.is_halted() {
         if deadline <= cx.clock.now() {
-            settle::fail(&cx, &answer, expired(&answer)).await;
+            settle::fail(&cx, &answer, deadline_error(&answer)).await;
             return;
         }
         let request = &run.portable.request;
-        let asked = match pending.take() {
-            Some(pending) => Ok(pending),
-            None => admit::ask(&cx, answer.team(), request, Standing::Accepted, &avoid).await,
+        let queued_request = match queued.take() {
+            Some(queued) => Ok(queued),
+            None => {
+                admit::enqueue(&cx, answer.team(), request, AdmissionStatus::Accepted, &avoid).await
+            }
         };
-        let Ok(asked) = asked else {
+        let Ok(queued_request) = queued_request else {
             tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
-        let start = asked.start.await.unwrap_or(Start::Nowhere);
+        let start = queued_request.start.await.unwrap_or(Start::Nowhere);
         let worker = match start {
             Start::On(key) => Some(key),
             Start::Nowhere => None,
             Start::Expired => {
-                settle::fail(&cx, &answer, expired(&answer)).await;
+                settle::fail(&cx, &answer, deadline_error(&answer)).await;
                 return;
             }
         };
@@ -94,35 +97,35 @@
                 let generate = generate(&run, attempt);
                 let span = tracing::info_span!("attempt", number = attempt);
                 attempt += 1;
-                if let Some(cache) = cache.take() {
-                    put_cache(&cx, key, cache).await;
+                if let Some(cache) = kv_cache.take() {
+                    import_kv_cache(&cx, key, cache).await;
                 }
-                answer.set_place(worker);
+                answer.set_worker(worker);
                 let ended = tokio::select! {
-                    ended = one_attempt(&cx, &mut run, key, asked.ticket, generate).instrument(span) => ended,
+                    ended = run_attempt(&cx, &mut run, key, queued_request.ticket, generate).instrument(span) => ended,
                     () = answer.halted() => AttemptEnd::failed(CallFault::Closed),
                 };
-                answer.set_place(None);
+                answer.set_worker(None);
                 ended
             }
             _ => AttemptEnd::Failed(CallError::not_done(CallFault::Connect)),
         };
-        let finished = Finished { service, ticket: asked.ticket, worker };
+        let finished = Finished { service, ticket: queued_request.ticket, worker };
         let _ = cx.dispatcher.send(finished).await;
 
         match ended {
-            AttemptEnd::Whole(usage) => {
+            AttemptEnd::Complete(usage) => {
                 cx.recomputed.add(run.cause, usage.recomputed_tokens);
-                let labels = [("cause", run.cause.word())];
+                let labels = [("cause", run.cause.as_str())];
                 let tokens = u64::from(usage.recomputed_tokens);
                 cx.meters.count(Metric::RecomputedTokens, &labels, tokens);
-                settle::whole(&cx, &answer, usage).await;
+                settle::complete(&cx, &answer, usage).await;
                 return;
             }
-            _ if answer.is_halted() => cancel_at(&cx, &answer, worker).await,
+            _ if answer.is_halted() => cancel_on_engine(&cx, &answer, worker).await,
             AttemptEnd::Evacuated(exported) => {
                 run.cause = Cause::Reclaim;
-                cache = exported;
+                kv_cache = exported;
                 avoid.extend(worker);
             }
             AttemptEnd::Failed(error) => {
@@ -153,9 +156,10 @@
 }
 
 enum AttemptEnd {
-    Whole(Usage),
+    Complete(Usage),
     Failed(CallError),
-    /// The engine's VM is taken back; its KV cache of the request is here if it could be got.
+    /// The VM of the engine is being reclaimed; holds the request's KV cache if it could be
+    /// exported.
     Evacuated(Option<Bytes>),
 }
 
@@ -165,16 +169,16 @@
     }
 }
 
-async fn one_attempt(
+async fn run_attempt(
     cx: &Context,
     run: &mut Run,
     key: WorkerKey,
     ticket: Ticket,
     generate: Generate,
 ) -> AttemptEnd {
-    let gone = || AttemptEnd::Failed(CallError::not_done(CallFault::Connect));
-    let Some(backend) = cx.backends.get(key) else { return gone() };
-    let BackendClient::Engine(engine) = backend.client else { return gone() };
+    let no_engine = || AttemptEnd::Failed(CallError::not_done(CallFault::Connect));
+    let Some(backend) = cx.backends.get(key) else { return no_engine() };
+    let BackendClient::Engine(engine) = backend.client else { return no_engine() };
     run.answer.set_started();
     let mut frames = match engine.generate(generate).await {
         Ok(frames) => frames,
@@ -182,12 +186,12 @@
     };
     let mut first = Some(FirstToken { service: backend.service, ticket });
     let answer = Arc::clone(&run.answer);
-    let mut evacuated = std::pin::pin!(exported(&answer, engine.as_ref()));
+    let mut evacuation = std::pin::pin!(export_on_evacuation(&answer, engine.as_ref()));
     loop {
-        // The engine goes on writing while its cache is being read.
+        // The engine keeps generating while its cache is being exported.
         let frame = tokio::select! {
             frame = frames.next() => frame,
-            cache = &mut evacuated => return AttemptEnd::Evacuated(cache),
+            cache = &mut evacuation => return AttemptEnd::Evacuated(cache),
         };
         match frame {
             Some(Ok(Frame::Token(token))) => {
@@ -201,45 +205,47 @@
                     return AttemptEnd::failed(CallFault::Closed);
                 }
             }
-            Some(Ok(Frame::Done(usage))) => return AttemptEnd::Whole(usage),
+            Some(Ok(Frame::Done(usage))) => return AttemptEnd::Complete(usage),
             Some(Err(error)) => return AttemptEnd::Failed(error),
             None => return AttemptEnd::failed(CallFault::Closed),
         }
     }
 }
 
-// Waits until the run has to leave its engine, and gets its KV cache if that is to be moved.
-async fn exported(answer: &Answer, engine: &dyn Engine) -> Option<Bytes> {
+// Waits until the run has to leave its engine, and exports the KV cache if it is to be moved.
+async fn export_on_evacuation(answer: &Answer, engine: &dyn Engine) -> Option<Bytes> {
     let mut evacuation = answer.evacuation();
-    let how = evacuation.wait_for(|how| *how != Evacuate::Stay).await.map(|how| *how);
-    match how {
-        Ok(Evacuate::Move) => {}
-        Ok(Evacuate::Resume) => return None,
-        Ok(Evacuate::Stay) | Err(_) => return std::future::pending().await,
+    let state =
+        evacuation.wait_for(|state| *state != EvacuationState::Stay).await.map(|state| *state);
+    match state {
+        Ok(EvacuationState::Move) => {}
+        Ok(EvacuationState::Resume) => return None,
+        Ok(EvacuationState::Stay) | Err(_) => return std::future::pending().await,
     }
     tokio::select! {
         cache = engine.export_cache(answer.id()) => cache.ok(),
-        // The notice is over; what has not been read by now never will be.
-        _ = evacuation.wait_for(|how| *how == Evacuate::Resume) => None,
+        // The notice period is over; an export that has not finished by now is given up.
+        _ = evacuation.wait_for(|state| *state == EvacuationState::Resume) => None,
     }
 }
 
-// Without its cache the request is resumed all the same, at the price of computing it anew.
-async fn put_cache(cx: &Context, key: WorkerKey, cache: Bytes) {
+// An import that fails is ignored: the request is then resumed at the cost of recomputing its
+// cache.
+async fn import_kv_cache(cx: &Context, key: WorkerKey, cache: Bytes) {
     let Some(backend) = cx.backends.get(key) else { return };
     let BackendClient::Engine(engine) = backend.client else { return };
     let _ = engine.import_cache(cache).await;
 }
 
-// The engine stops when its reader goes; one whose connection has gone silent does not notice
-// that, and is told.
-async fn cancel_at(cx: &Context, answer: &Answer, worker: Option<WorkerKey>) {
+// An engine stops when the connection is closed. One whose connection has gone silent does not see
+// that, so it gets an explicit cancellation.
+async fn cancel_on_engine(cx: &Context, answer: &Answer, worker: Option<WorkerKey>) {
     let Some(backend) = worker.and_then(|key| cx.backends.get(key)) else { return };
     let BackendClient::Engine(engine) = backend.client else { return };
     let _ = engine.cancel(answer.id()).await;
 }
 
-fn expired(answer: &Answer) -> AnswerEnd {
+fn deadline_error(answer: &Answer) -> AnswerEnd {
     let error = ApiError::not_run(ApiCode::DeadlinePassed, "the deadline has passed");
     AnswerEnd::Failed(error.ran(answer.ran()))
 }
--- a/crates/daemon/src/callers/requests.rs
+++ b/crates/daemon/src/callers/requests.rs
@@ -1,4 +1,4 @@
-//! `/v1/requests`: patient work that is submitted now and read later.
+//! `/v1/requests`: requests that are submitted now and whose answers are read later.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,10 +9,10 @@
 use serde_json::json;
 
 use crate::{
-    answers::{Answer, AnswerEnd, Place},
+    answers::{Answer, AnswerEnd, TokenPosition},
     callers::{
         ApiCode, ApiError, admit,
-        classify::{Delivery, Patience, classify},
+        classify::{DefaultClass, Delivery, classify},
         events,
         identify::identify,
         respond,
@@ -21,9 +21,9 @@
     handoff,
 };
 
-/// The header in which a reader names the last event that it saw.
-const LAST_EVENT_HEADER: &str = "last-event-id";
-/// How long a cancelling caller waits for the end to show.
+/// The header in which a reader names the last event that it received.
+const LAST_EVENT_ID_HEADER: &str = "last-event-id";
+/// How long a caller that cancels a request waits for the request to end.
 const CANCEL_WAIT: Duration = Duration::from_secs(2);
 
 /// Accepts a request and returns its id at once.
@@ -34,15 +34,15 @@
 ) -> Result<Response<Body>, ApiError> {
     let in_force = cx.in_force();
     let team = identify(&in_force.deployment, parts)?;
-    let request = classify(&in_force.deployment, parts, &body, Patience::Patient)?;
+    let request = classify(&in_force.deployment, parts, &body, DefaultClass::LeastUrgent)?;
     let answer = admit::admit(cx, team, request).await?;
     let mut res = respond::json(&describe(&answer));
     *res.status_mut() = StatusCode::ACCEPTED;
-    events::set_request(&mut res, &answer);
+    events::set_request_headers(&mut res, &answer);
     Ok(res)
 }
 
-/// Shows how far a request is, or cancels it.
+/// Returns the state of a request; cancels it first if the method is DELETE.
 pub async fn show_or_cancel(
     cx: &Arc<Context>,
     parts: &Parts,
@@ -53,32 +53,32 @@
         cancel(cx, &answer).await?;
     }
     let mut res = respond::json(&describe(&answer));
-    events::set_request(&mut res, &answer);
+    events::set_request_headers(&mut res, &answer);
     Ok(res)
 }
 
-/// Streams an answer from the event after the last one that the reader saw.
+/// Streams an answer from the event after the last one that the reader received.
 pub async fn stream(
     cx: &Arc<Context>,
     parts: &Parts,
     id: &str,
 ) -> Result<Response<Body>, ApiError> {
     let answer = find(cx, parts, id).await?;
-    let Some(last) = parts.headers.get(LAST_EVENT_HEADER) else {
+    let Some(last) = parts.headers.get(LAST_EVENT_ID_HEADER) else {
         return Ok(events::stream_from(&answer, 0, Delivery::StreamedWithUsage));
     };
     let malformed = || {
-        let message = "Last-Event-ID is not an event of this request";
+        let message = "Last-Event-ID is not the id of an event of this request";
         ApiError::not_run(ApiCode::InvalidValue, message)
     };
     let last = last.to_str().map_err(|_| malformed())?;
-    let (number, seen) = position(answer.id(), last).ok_or_else(malformed)?;
+    let (number, seen) = parse_event_id(answer.id(), last).ok_or_else(malformed)?;
     let reader = answer.read_from(number + 1).after(seen);
     Ok(events::stream(reader, number + 1, Delivery::StreamedWithUsage))
 }
 
-// Returns the number of an event and, where its id carries a check, the place that it stands for.
-fn position(id: RequestId, text: &str) -> Option<(usize, Option<Place>)> {
+// Returns the token number of an event and, if its id carries a checksum, the token position.
+fn parse_event_id(id: RequestId, text: &str) -> Option<(usize, Option<TokenPosition>)> {
     let (position, check) = match text.match_indices(':').nth(1) {
         Some((at, _)) => (&text[..at], Some(&text[at + 1..])),
         None => (text, None),
@@ -90,7 +90,7 @@
     let number = usize::try_from(position.number).ok().filter(|number| *number < usize::MAX)?;
     let Some(check) = check else { return Some((number, None)) };
     let check = u32::from_str_radix(check, 16).ok()?;
-    Some((number, Some(Place { number, check })))
+    Some((number, Some(TokenPosition { number, check })))
 }
 
 async fn cancel(cx: &Arc<Context>, answer: &Arc<Answer>) -> Result<(), ApiError> {
@@ -101,7 +101,7 @@
         let message = "the owner of the request could not be reached";
         return Err(ApiError::not_run(ApiCode::Unavailable, message).ran(Ran::Unknown));
     }
-    // The end is shown once the holder of the copy has it too.
+    // The end becomes visible once the copy holder has it too.
     let mut reader = answer.read_from(usize::MAX);
     let _ = tokio::time::timeout(CANCEL_WAIT, reader.next()).await;
     Ok(())
@@ -112,7 +112,7 @@
     let team = identify(&in_force.deployment, parts)?;
     let unknown = || ApiError::not_run(ApiCode::RequestNotFound, "no request has this id");
     let id: RequestId = id.parse().map_err(|_| unknown())?;
-    // Another team's request is answered like one that does not exist.
+    // The response for another team's request is the same as for one that does not exist.
     handoff::find(cx, &team, id).await.ok_or_else(unknown)
 }
 
--- a/crates/daemon/src/callers/respond.rs
+++ b/crates/daemon/src/callers/respond.rs
@@ -1,4 +1,4 @@
-//! Answers that several filters give in the same way.
+//! JSON responses.
 
 use bulrushhall_external::http::{Body, full};
 use hyper::{
@@ -9,7 +9,7 @@
 
 use crate::callers::{ApiCode, ApiError};
 
-/// Returns a JSON answer.
+/// Returns a JSON response.
 pub fn json(value: &impl Serialize) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(bytes) => json_bytes(bytes),
@@ -17,10 +17,10 @@
     }
 }
 
-/// Returns a JSON answer whose text is already there.
+/// Returns a JSON response with the given encoded body.
 pub fn json_bytes(bytes: impl Into<bytes::Bytes>) -> Response<Body> {
-    let mut answer = Response::new(full(bytes));
+    let mut response = Response::new(full(bytes));
     let json = HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(CONTENT_TYPE, json);
+    response
 }
--- a/crates/daemon/src/callers/router.rs
+++ b/crates/daemon/src/callers/router.rs
@@ -1,4 +1,4 @@
-//! The callers' port: which filter chain takes which path.
+//! Routing of requests on the callers' port to their filter chains.
 
 use std::sync::Arc;
 
@@ -16,13 +16,13 @@
     context::Context,
 };
 
-/// A `CallerPort` answers the requests that arrive on the callers' port.
+/// A `CallerPort` handles the HTTP requests that arrive on the callers' port.
 pub struct CallerPort {
     cx: Arc<Context>,
 }
 
 impl CallerPort {
-    /// Returns the port of a node.
+    /// Returns the callers' port of a node.
     pub fn new(cx: Arc<Context>) -> CallerPort {
         CallerPort { cx }
     }
@@ -33,44 +33,44 @@
         let cx = &self.cx;
         match segments.as_slice() {
             ["v1", "entries"] => {
-                only(&parts, &[Method::GET])?;
+                require_method(&parts, &[Method::GET])?;
                 entries::list(cx, &parts)
             }
             ["v1", "models"] => {
-                only(&parts, &[Method::GET])?;
+                require_method(&parts, &[Method::GET])?;
                 models::list(cx, &parts)
             }
             ["v1", "models", model] => {
-                only(&parts, &[Method::GET])?;
+                require_method(&parts, &[Method::GET])?;
                 models::show(cx, &parts, model)
             }
             ["v1", "chat", "completions"] => {
-                only(&parts, &[Method::POST])?;
-                let body = self.read(body).await?;
+                require_method(&parts, &[Method::POST])?;
+                let body = self.read_body(body).await?;
                 chat::complete(cx, &parts, body).await
             }
             ["v1", "requests"] => {
-                only(&parts, &[Method::POST])?;
-                let body = self.read(body).await?;
+                require_method(&parts, &[Method::POST])?;
+                let body = self.read_body(body).await?;
                 requests::submit(cx, &parts, body).await
             }
             ["v1", "requests", id] => {
-                only(&parts, &[Method::GET, Method::DELETE])?;
+                require_method(&parts, &[Method::GET, Method::DELETE])?;
                 requests::show_or_cancel(cx, &parts, id).await
             }
             ["v1", "requests", id, "stream"] => {
-                only(&parts, &[Method::GET])?;
+                require_method(&parts, &[Method::GET])?;
                 requests::stream(cx, &parts, id).await
             }
             ["v1", "services", service, ..] => {
-                let body = self.read(body).await?;
+                let body = self.read_body(body).await?;
                 services::call(cx, &parts, service, body).await
             }
-            _ => Err(ApiError::not_run(ApiCode::NotFound, format!("nothing is at {path}"))),
+            _ => Err(ApiError::not_run(ApiCode::NotFound, format!("unknown path {path}"))),
         }
     }
 
-    async fn read(&self, body: Incoming) -> Result<Bytes, ApiError> {
+    async fn read_body(&self, body: Incoming) -> Result<Bytes, ApiError> {
         let limits = &self.cx.settings.limits;
         let limit = usize::try_from(limits.body.as_u64()).unwrap_or(usize::MAX);
         Ok(read_limited(body, limit, limits.body_timeout.into()).await?)
@@ -83,24 +83,24 @@
             let (parts, body) = req.into_parts();
             let observation = Observation::begin(&self.cx, &parts);
             let span = observation.span(&parts);
-            let answer = match self.route(parts, body).instrument(span).await {
-                Ok(answer) => answer,
+            let response = match self.route(parts, body).instrument(span).await {
+                Ok(response) => response,
                 Err(error) => {
                     let code = error.code;
                     tracing::info!(event = Event::RequestRefused.number(), ?code);
                     error.into_response()
                 }
             };
-            observation.follow(answer)
+            observation.attach(response)
         })
     }
 }
 
-fn only(parts: &Parts, methods: &[Method]) -> Result<(), ApiError> {
+fn require_method(parts: &Parts, methods: &[Method]) -> Result<(), ApiError> {
     if methods.contains(&parts.method) {
         return Ok(());
     }
     let names: Vec<&str> = methods.iter().map(Method::as_str).collect();
-    let message = format!("{} takes {}", parts.uri.path(), names.join(" and "));
+    let message = format!("{} only accepts {}", parts.uri.path(), names.join(" and "));
     Err(ApiError::not_run(ApiCode::MethodNotAllowed, message))
 }
--- a/crates/daemon/src/callers/services.rs
+++ b/crates/daemon/src/callers/services.rs
@@ -1,4 +1,4 @@
-//! `/v1/services/{service}/{path}`: calls that are passed to plain services.
+//! `/v1/services/{service}/{path}`: calls that are forwarded to plain services.
 
 use std::sync::Arc;
 
@@ -19,19 +19,19 @@
     backends::{Backend, BackendClient},
     callers::{ApiCode, ApiError, identify::identify},
     context::Context,
-    keyed::{self, KeyedCall, Stored},
+    keyed::{self, KeyedCall, StoredResponse},
 };
 
 /// The header that carries a caller's idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
-/// The header that carries the ticket under which a key was first used.
+/// The header that carries the ticket under which an idempotency key was first used.
 const TICKET_HEADER: &str = "x-ticket";
-/// The headers that are passed on to a plain service.
-const PASSED_HEADERS: [&str; 4] = ["content-type", "accept", KEY_HEADER, "traceparent"];
-/// The longest idempotency key, in bytes.
-const KEY_MAX: usize = 256;
+/// The request headers that are forwarded to a plain service.
+const FORWARDED_HEADERS: [&str; 4] = ["content-type", "accept", KEY_HEADER, "traceparent"];
+/// The maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
 
-/// Passes a call on to a plain service.
+/// Forwards a caller's request to a plain service and returns its response.
 pub async fn call(
     cx: &Arc<Context>,
     parts: &Parts,
@@ -51,66 +51,70 @@
     if cfg.service_type != ServiceType::Plain {
         return Err(unknown());
     }
-    let call = passed_on(parts, service, body);
-    if !is_repeatable(cfg, &call) {
-        return at_most_once(cx, parts, team, &name, call).await;
+    let call = forwarded_call(parts, service, body);
+    if !is_idempotent_call(cfg, &call) {
+        return call_at_most_once(cx, parts, team, &name, call).await;
     }
     if cx.is_leaving() {
-        return Err(ApiError::not_run(ApiCode::Leaving, "the node takes no new work"));
+        return Err(ApiError::not_run(
+            ApiCode::Leaving,
+            "the node is leaving and takes no new requests",
+        ));
     }
-    repeatable(cx, &name, call).await
+    call_idempotent(cx, &name, call).await
 }
 
-async fn repeatable(
+async fn call_idempotent(
     cx: &Context,
     service: &ServiceName,
     call: ServiceCall,
 ) -> Result<Response<Body>, ApiError> {
     let mut attempts = Attempts::default();
-    let mut last = unavailable();
-    for backend in by_distance(cx, service) {
+    let mut last_error = no_backend_error();
+    for backend in backends_by_distance(cx, service) {
         attempts.begin();
-        match pass(&backend, call.clone()).await {
-            Ok(answer) => return Ok(to_response(answer)),
+        match forward(&backend, call.clone()).await {
+            Ok(response) => return Ok(into_http_response(response)),
             Err(error) => {
                 attempts.end(error.ran);
-                last = failed(&error);
+                last_error = call_error(&error);
             }
         }
     }
-    Err(last.ran(attempts.ran()))
+    Err(last_error.ran(attempts.ran()))
 }
 
-async fn at_most_once(
+async fn call_at_most_once(
     cx: &Arc<Context>,
     parts: &Parts,
     team: TeamName,
     service: &ServiceName,
     call: ServiceCall,
 ) -> Result<Response<Body>, ApiError> {
-    let key = key_of(&call)?;
+    let key = idempotency_key(&call)?;
     let call = KeyedCall {
         team,
         service: service.clone(),
         key,
-        ticket: ticket_of(parts)?,
+        ticket: ticket_from_headers(parts)?,
         method: call.method.to_string(),
         path: call.path,
         headers: keyed::portable_headers(&call.headers),
         body: call.body,
     };
-    keyed::call(cx, call).await.map(Stored::into_response)
+    keyed::call(cx, call).await.map(StoredResponse::into_response)
 }
 
-fn ticket_of(parts: &Parts) -> Result<Option<Incarnation>, ApiError> {
+fn ticket_from_headers(parts: &Parts) -> Result<Option<Incarnation>, ApiError> {
     let Some(ticket) = parts.headers.get(TICKET_HEADER) else { return Ok(None) };
-    let malformed = || ApiError::not_run(ApiCode::InvalidValue, "x-ticket is not a ticket");
+    let malformed =
+        || ApiError::not_run(ApiCode::InvalidValue, "the x-ticket header is not a valid ticket");
     let ticket = ticket.to_str().ok().and_then(|ticket| ticket.strip_prefix("t-"));
     ticket.ok_or_else(malformed)?.parse().map(Some).map_err(|_| malformed())
 }
 
-/// Passes a call to one backend server.
-pub(crate) async fn pass(
+/// Sends a call to one backend server.
+pub(crate) async fn forward(
     backend: &Backend,
     call: ServiceCall,
 ) -> Result<ServiceResponse, CallError> {
@@ -120,41 +124,42 @@
     }
 }
 
-fn passed_on(parts: &Parts, service: &str, body: Bytes) -> ServiceCall {
-    let full = parts.uri.path_and_query().map_or("/", |path| path.as_str());
+fn forwarded_call(parts: &Parts, service: &str, body: Bytes) -> ServiceCall {
+    let path_and_query = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let prefix = format!("/v1/services/{service}");
-    let path = full.strip_prefix(&prefix).filter(|rest| rest.starts_with('/')).unwrap_or("/");
+    let path =
+        path_and_query.strip_prefix(&prefix).filter(|rest| rest.starts_with('/')).unwrap_or("/");
     let mut headers = HeaderMap::new();
-    for name in PASSED_HEADERS {
+    for name in FORWARDED_HEADERS {
         let Some(value) = parts.headers.get(name) else { continue };
         headers.insert(name, value.clone());
     }
     ServiceCall { method: parts.method.clone(), path: path.to_owned(), headers, body, fence: None }
 }
 
-fn is_repeatable(cfg: &ServiceConfig, call: &ServiceCall) -> bool {
+fn is_idempotent_call(cfg: &ServiceConfig, call: &ServiceCall) -> bool {
     let path = call.path.split('?').next().unwrap_or("/");
     cfg.is_idempotent(call.method.as_str(), path)
 }
 
-fn key_of(call: &ServiceCall) -> Result<Bytes, ApiError> {
+fn idempotency_key(call: &ServiceCall) -> Result<Bytes, ApiError> {
     let missing = || {
-        let message = "a call that may run at most once needs an Idempotency-Key";
+        let message = "a call that is not idempotent needs an Idempotency-Key header";
         ApiError::not_run(ApiCode::MissingIdempotencyKey, message)
     };
     let key = call.headers.get(KEY_HEADER).ok_or_else(missing)?.as_bytes();
     if key.is_empty() {
         return Err(missing());
     }
-    if KEY_MAX < key.len() {
-        let message = format!("the Idempotency-Key is longer than {KEY_MAX} bytes");
+    if MAX_KEY_BYTES < key.len() {
+        let message = format!("the Idempotency-Key header is longer than {MAX_KEY_BYTES} bytes");
         return Err(ApiError::not_run(ApiCode::InvalidValue, message));
     }
     Ok(Bytes::copy_from_slice(key))
 }
 
-/// Returns the backend servers of a service, near ones first.
-pub(crate) fn by_distance(cx: &Context, service: &ServiceName) -> Vec<Backend> {
+/// Returns the backend servers of a service; those in the node's own zone come first.
+pub(crate) fn backends_by_distance(cx: &Context, service: &ServiceName) -> Vec<Backend> {
     let zone = &cx.settings.node.zone;
     let mut backends: Vec<Backend> =
         cx.backends.of(service).into_iter().map(|(_, backend)| backend).collect();
@@ -162,19 +167,19 @@
     backends
 }
 
-fn unavailable() -> ApiError {
+fn no_backend_error() -> ApiError {
     ApiError::not_run(ApiCode::Unavailable, "no backend server could be reached")
 }
 
-fn failed(error: &CallError) -> ApiError {
+fn call_error(error: &CallError) -> ApiError {
     let code = if error.ran == Ran::No { ApiCode::Unavailable } else { ApiCode::BackendFailed };
     ApiError::not_run(code, error.to_string()).ran(error.ran)
 }
 
-fn to_response(answer: ServiceResponse) -> Response<Body> {
-    let mut res = Response::new(full(answer.body));
-    *res.status_mut() = answer.status;
-    if let Some(content_type) = answer.headers.get(CONTENT_TYPE) {
+fn into_http_response(response: ServiceResponse) -> Response<Body> {
+    let mut res = Response::new(full(response.body));
+    *res.status_mut() = response.status;
+    if let Some(content_type) = response.headers.get(CONTENT_TYPE) {
         res.headers_mut().insert(CONTENT_TYPE, content_type.clone());
     }
     res
--- a/crates/daemon/src/callers/settle.rs
+++ b/crates/daemon/src/callers/settle.rs
@@ -1,4 +1,4 @@
-//! The last filter: how a request ended.
+//! The last filter: records how a request ended.
 
 use bulrushhall_external::engine::Usage;
 
@@ -8,18 +8,18 @@
     handoff::Ended,
 };
 
-/// Ends an answer that is whole.
-pub async fn whole(cx: &Context, answer: &Answer, usage: Usage) {
+/// Ends an answer successfully.
+pub async fn complete(cx: &Context, answer: &Answer, usage: Usage) {
     end(cx, answer, AnswerEnd::Whole(usage)).await;
 }
 
-/// Ends an answer that will never be whole.
-pub async fn fail(cx: &Context, answer: &Answer, failed: AnswerEnd) {
-    end(cx, answer, failed).await;
+/// Ends an answer that failed.
+pub async fn fail(cx: &Context, answer: &Answer, failure: AnswerEnd) {
+    end(cx, answer, failure).await;
 }
 
-// Readers see the end once the holder of the copy has it too: an answer whose end was shown must
-// not be run again by a holder that takes over.
+// Readers see the end once the copy holder has it too. Otherwise a copy holder that takes over
+// could run a request again whose end has already been shown.
 async fn end(cx: &Context, answer: &Answer, end: AnswerEnd) {
     let _ = cx.ownership.send(Ended { id: answer.id(), end }).await;
 }
--- a/crates/daemon/src/handoff/abandon.rs
+++ b/crates/daemon/src/handoff/abandon.rs
@@ -1,4 +1,4 @@
-//! Cancelling answers whose callers went away.
+//! Cancellation of answers whose callers have disconnected.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -7,30 +7,30 @@
 
 use crate::{context::Context, handoff::find::cancel_here};
 
-/// The pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
-/// How long an answer without a reader goes on, so that its caller can come back for it.
-const KEPT_FOR: Duration = Duration::from_secs(10);
+/// The pause between two checks.
+const CHECK_PAUSE: Duration = Duration::from_millis(500);
+/// How long an answer without a reader keeps running, so that its caller can reconnect.
+const ABANDON_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Cancels answers that are of use only to a reader and have had none for a while.
+/// Cancels answers that need a reader and have had none for [`ABANDON_TIMEOUT`].
 ///
-/// Without this an engine would write to its end every answer whose caller has hung up.
+/// Otherwise engines would generate the rest of every answer whose caller has disconnected.
 pub async fn cancel_abandoned(cx: Arc<Context>) {
     let mut unread: HashMap<RequestId, Instant> = HashMap::new();
     loop {
-        sleep(LOOK_PAUSE).await;
-        let mut still = HashMap::new();
+        sleep(CHECK_PAUSE).await;
+        let mut still_unread = HashMap::new();
         for answer in cx.answers.open() {
-            if !answer.is_attended() || 0 < answer.readers() {
+            if !answer.needs_reader() || 0 < answer.readers() {
                 continue;
             }
             let since = unread.get(&answer.id()).copied().unwrap_or_else(Instant::now);
-            if KEPT_FOR <= since.elapsed() {
+            if ABANDON_TIMEOUT <= since.elapsed() {
                 cancel_here(&cx, &answer).await;
                 continue;
             }
-            still.insert(answer.id(), since);
+            still_unread.insert(answer.id(), since);
         }
-        unread = still;
+        unread = still_unread;
     }
 }
--- a/crates/daemon/src/handoff/drain.rs
+++ b/crates/daemon/src/handoff/drain.rs
@@ -1,4 +1,4 @@
-//! What a leaving node does with the requests that it owns.
+//! Draining of a leaving node, and the timers of the ownership actor.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,27 +10,29 @@
     handoff::{HandOver, SetMembers, Sweep, Tick},
 };
 
-/// The pause between two looks.
-const PAUSE: Duration = Duration::from_millis(25);
-/// The pause between two ticks: tokens that come within it share a message.
+/// The pause between two checks while draining.
+const DRAIN_PAUSE: Duration = Duration::from_millis(25);
+/// The pause between two ticks; tokens produced within it are sent in one message.
 const TICK_PAUSE: Duration = Duration::from_millis(4);
-/// The pause between two looks at every request.
+/// The pause between two sweeps over all requests.
 const SWEEP_PAUSE: Duration = Duration::from_millis(100);
-/// The last part of the drain time, which is left for handing over what still runs.
-const HANDING_SHARE: u32 = 4;
-/// The longest that the last part is.
-const HANDING_MAX: Duration = Duration::from_secs(4);
+/// The divisor that gives the last part of the drain time, in which running requests are handed
+/// over.
+const HANDOVER_DIVISOR: u32 = 4;
+/// The maximum length of that last part.
+const MAX_HANDOVER_TIME: Duration = Duration::from_secs(4);
 
-/// Hands over what a leaving node owns: what waits at once, what runs when its time is over.
+/// Hands over the requests of a leaving node: queued ones at once, running ones near the end of the
+/// drain time.
 pub async fn drain(cx: Arc<Context>) {
     while !cx.is_leaving() {
-        sleep(PAUSE).await;
+        sleep(DRAIN_PAUSE).await;
     }
     let drain: Duration = cx.settings.limits.drain.into();
-    let over = Instant::now() + drain - (drain / HANDING_SHARE).min(HANDING_MAX);
+    let handover_at = Instant::now() + drain - (drain / HANDOVER_DIVISOR).min(MAX_HANDOVER_TIME);
     loop {
-        // A VM that is taken back is gone in seconds, long before the time of a planned stop.
-        let all = cx.is_reclaimed() || over <= Instant::now();
+        // A reclaimed VM stops within seconds, long before the drain time of a planned stop ends.
+        let all = cx.is_reclaimed() || handover_at <= Instant::now();
         let mut ids = Vec::new();
         for answer in cx.answers.open() {
             if all || !answer.is_started() {
@@ -40,25 +42,26 @@
         if !ids.is_empty() {
             let _ = cx.ownership.send(HandOver(ids)).await;
         }
-        sleep(PAUSE).await;
+        sleep(DRAIN_PAUSE).await;
     }
 }
 
-/// Ends the answers that are still open here; their readers are told where to go on.
+/// Ends the answers that are still open at this node; their readers receive the address of another
+/// node at which to continue.
 pub fn end_open_answers(cx: &Context) {
-    let mut others =
+    let mut candidates =
         cx.members.current().iter().filter(|it| !it.leaving).cloned().collect::<Vec<_>>();
-    others.sort_by_key(|member| member.zone != cx.settings.node.zone);
-    let Some(next) = others.first() else { return };
+    candidates.sort_by_key(|member| member.zone != cx.settings.node.zone);
+    let Some(target) = candidates.first() else { return };
     for answer in cx.answers.open() {
-        answer.end(AnswerEnd::Moved(next.callers));
+        answer.end(AnswerEnd::Moved(target.callers));
     }
 }
 
-/// Lets the time of ownership pass and tells it of the members.
+/// Sends ticks, sweeps and membership changes to the ownership actor.
 pub async fn run_timers(cx: Arc<Context>) {
     let mut members = cx.members.subscribe();
-    let mut swept = Instant::now();
+    let mut last_sweep = Instant::now();
     let _ = cx.ownership.send(SetMembers(cx.members.current())).await;
     loop {
         sleep(TICK_PAUSE).await;
@@ -67,8 +70,8 @@
             let _ = cx.ownership.send(SetMembers(cx.members.current())).await;
         }
         let _ = cx.ownership.send(Tick).await;
-        if SWEEP_PAUSE <= swept.elapsed() {
-            swept = Instant::now();
+        if SWEEP_PAUSE <= last_sweep.elapsed() {
+            last_sweep = Instant::now();
             let _ = cx.ownership.send(Sweep).await;
         }
     }
--- a/crates/daemon/src/handoff/evacuate.rs
+++ b/crates/daemon/src/handoff/evacuate.rs
@@ -1,4 +1,4 @@
-//! Moving answers off engines whose VMs are taken back.
+//! Evacuation of answers from engines whose VMs are reclaimed.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -8,61 +8,61 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    answers::{Answer, Evacuate},
+    answers::{Answer, EvacuationState},
     context::Context,
 };
 
-/// The pause between two looks at the VMs that leave.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
-/// The pause between two looks at an answer that is being moved.
+/// The pause between two checks for leaving VMs.
+const POLL_PAUSE: Duration = Duration::from_millis(100);
+/// The pause between two checks of an answer that is being moved.
 const MOVE_PAUSE: Duration = Duration::from_millis(5);
-/// The time that a notice is taken to leave when it is first heard of.
-const NOTICE: Duration = Duration::from_secs(4);
+/// The time that is assumed to remain before the VM is reclaimed when a notice is first seen.
+const ASSUMED_NOTICE: Duration = Duration::from_secs(4);
 
-/// Moves answers off every engine whose VM is known to leave.
+/// Evacuates every engine whose VM is known to be leaving.
 pub async fn follow_notices(cx: Arc<Context>) {
-    let mut done: BTreeSet<VmName> = BTreeSet::new();
+    let mut handled: BTreeSet<VmName> = BTreeSet::new();
     loop {
-        sleep(LOOK_PAUSE).await;
+        sleep(POLL_PAUSE).await;
         let leaving = cx.leaving_vms.load_full();
-        for vm in leaving.iter().filter(|vm| !done.contains(*vm)) {
+        for vm in leaving.iter().filter(|vm| !handled.contains(*vm)) {
             for (worker, _) in cx.backends.on(vm) {
-                tokio::spawn(evacuate(Arc::clone(&cx), worker, NOTICE));
+                tokio::spawn(evacuate(Arc::clone(&cx), worker, ASSUMED_NOTICE));
             }
         }
-        done = leaving.as_ref().clone();
+        handled = leaving.as_ref().clone();
     }
 }
 
-/// Moves what runs on an engine elsewhere within the time `left`.
+/// Moves the answers that run on an engine to other engines within the time `left`.
 pub async fn evacuate(cx: Arc<Context>, worker: WorkerKey, left: Duration) {
     let options = EvacuationOptions::default();
     let until = Instant::now() + left.saturating_sub(options.margin);
-    let answers = on(&cx, worker).iter().map(|answer| movable(answer)).collect();
+    let answers = answers_on(&cx, worker).iter().map(|answer| movable(answer)).collect();
     let plan = Evacuation::plan(left, answers, &options);
     for id in plan.moved {
         move_one(&cx, worker, id, until).await;
     }
     tokio::time::sleep_until(until).await;
-    for answer in on(&cx, worker) {
-        answer.evacuate(Evacuate::Resume);
+    for answer in answers_on(&cx, worker) {
+        answer.evacuate(EvacuationState::Resume);
     }
 }
 
 async fn move_one(cx: &Context, worker: WorkerKey, id: RequestId, until: Instant) {
     let Some(answer) = cx.answers.get(id) else { return };
-    if answer.place() != Some(worker) {
+    if answer.worker() != Some(worker) {
         return;
     }
-    answer.evacuate(Evacuate::Move);
-    while answer.place() == Some(worker) && Instant::now() < until {
+    answer.evacuate(EvacuationState::Move);
+    while answer.worker() == Some(worker) && Instant::now() < until {
         sleep(MOVE_PAUSE).await;
     }
 }
 
-fn on(cx: &Context, worker: WorkerKey) -> Vec<Arc<Answer>> {
+fn answers_on(cx: &Context, worker: WorkerKey) -> Vec<Arc<Answer>> {
     let mut answers = cx.answers.open();
-    answers.retain(|answer| answer.place() == Some(worker));
+    answers.retain(|answer| answer.worker() == Some(worker));
     answers
 }
 
--- a/crates/daemon/src/handoff/find.rs
+++ b/crates/daemon/src/handoff/find.rs
@@ -1,4 +1,4 @@
-//! Finding the owner of a request from any node, and following an answer there.
+//! Locating the owner of a request from any node, and following its answer there.
 
 use std::{
     sync::{Arc, Weak},
@@ -10,31 +10,32 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    answers::{Answer, AnswerEnd, Place},
+    answers::{Answer, AnswerEnd, TokenPosition},
     callers::{ApiCode, ApiError},
     context::Context,
-    handoff::{Cancel, Ended, Read, ReadReply, Standing, StandingOf, messages::ReadMode},
+    handoff::{Cancel, Ended, GetRequestRole, Read, ReadReply, RequestRole, messages::ReadMode},
     members::Member,
 };
 
-/// How long a request is looked for whose owner has gone and whose holder has not yet taken over.
+/// How long to search for a request whose owner is dead and whose copy holder has not taken over
+/// yet.
 const FIND_WAIT: Duration = Duration::from_secs(6);
-/// The rounds of questions for a request that nobody knows.
-const FIND_ROUNDS: u32 = 2;
-/// The pause between two rounds.
+/// The number of query rounds after which a request that no node knows is reported as not found.
+const MAX_UNKNOWN_ROUNDS: u32 = 2;
+/// The pause between two query rounds.
 const FIND_PAUSE: Duration = Duration::from_millis(150);
-/// The most forwards that are followed in one round.
-const FORWARDS: usize = 4;
+/// The maximum number of referrals to another node that are followed in one round.
+const MAX_FORWARDS: usize = 4;
 
-/// Where an answer was found.
+/// The node at which an answer was found, and its reply.
 struct Found {
-    at: Member,
+    node: Member,
     reply: ReadReply,
 }
 
-/// Returns the answer to a team's request, wherever its owner is.
+/// Returns the answer to a team's request, whichever node owns it.
 ///
-/// An answer of another node is followed for as long as it has readers here.
+/// An answer that another node owns is followed for as long as it has readers at this node.
 pub async fn find(cx: &Arc<Context>, team: &TeamName, id: RequestId) -> Option<Arc<Answer>> {
     if let Some(answer) = cx.answers.get(id) {
         let moved = matches!(answer.ended(), Some(AnswerEnd::Moved(_)));
@@ -54,18 +55,18 @@
     Some(answer)
 }
 
-/// Cancels a team's request, wherever its owner is; returns whether it was found.
+/// Cancels a team's request, whichever node owns it; returns whether it was found.
 pub async fn cancel(cx: &Arc<Context>, answer: &Arc<Answer>) -> bool {
     if cancel_here(cx, answer).await {
         return true;
     }
     let (team, id) = (answer.team().clone(), answer.id());
-    let Some(Found { at, .. }) = locate(cx, &team, id, None).await else { return false };
+    let Some(Found { node, .. }) = locate(cx, &team, id, None).await else { return false };
     let cancel = Cancel { team, id };
-    cx.peers.send(cx, at.peers, Some(at.incarnation), cancel).await.unwrap_or(false)
+    cx.peers.send(cx, node.peers, Some(node.incarnation), cancel).await.unwrap_or(false)
 }
 
-/// Cancels a request that this node owns; returns whether it does.
+/// Cancels a request if this node owns it; returns whether it does.
 pub(super) async fn cancel_here(cx: &Context, answer: &Answer) -> bool {
     let error = ApiError::not_run(ApiCode::Cancelled, "the caller cancelled the request");
     let end = AnswerEnd::Failed(error.ran(answer.ran()));
@@ -76,102 +77,109 @@
     ended
 }
 
-/// Follows an answer at its owner until it ends or nobody reads it here any more.
+/// Copies an answer from its owner until it ends or has no more readers at this node.
 pub async fn follow(cx: Arc<Context>, answer: Weak<Answer>) {
     loop {
-        let Some((team, id, seen)) = look(&answer) else { return };
-        let Some(Found { at, reply }) = locate(&cx, &team, id, seen).await else {
+        let Some((team, id, seen)) = reader_state(&answer) else { return };
+        let Some(Found { node, reply }) = locate(&cx, &team, id, seen).await else {
             let Some(answer) = answer.upgrade() else { return };
-            let message = "no node knows the request any more";
+            let message = "no node has the request any more";
             let error = ApiError::not_run(ApiCode::Unavailable, message).ran(Ran::Unknown);
             answer.end(AnswerEnd::Failed(error));
             return;
         };
-        if apply(&cx, &answer, seen, reply) == Followed::Ended {
+        if apply_reply(&cx, &answer, seen, reply) == FollowState::Ended {
             return;
         }
-        while let Some((team, id, seen)) = look(&answer) {
+        while let Some((team, id, seen)) = reader_state(&answer) {
             let read = Read { team, id, seen, mode: ReadMode::Wait };
-            let Ok(reply) = cx.peers.send(&cx, at.peers, Some(at.incarnation), read).await else {
+            let Ok(reply) = cx.peers.send(&cx, node.peers, Some(node.incarnation), read).await
+            else {
                 sleep(FIND_PAUSE).await;
                 break;
             };
-            match apply(&cx, &answer, seen, reply) {
-                Followed::GoesOn => {}
-                Followed::Lost => break,
-                Followed::Ended => return,
+            match apply_reply(&cx, &answer, seen, reply) {
+                FollowState::Continues => {}
+                FollowState::OwnerLost => break,
+                FollowState::Ended => return,
             }
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Followed {
-    GoesOn,
-    Lost,
+enum FollowState {
+    Continues,
+    OwnerLost,
     Ended,
 }
 
-fn look(answer: &Weak<Answer>) -> Option<(TeamName, RequestId, Option<Place>)> {
+fn reader_state(answer: &Weak<Answer>) -> Option<(TeamName, RequestId, Option<TokenPosition>)> {
     let answer = answer.upgrade()?;
     if answer.ended().is_some() {
         return None;
     }
-    Some((answer.team().clone(), answer.id(), answer.last()))
+    Some((answer.team().clone(), answer.id(), answer.last_position()))
 }
 
-fn apply(cx: &Context, answer: &Weak<Answer>, seen: Option<Place>, reply: ReadReply) -> Followed {
-    let Some(answer) = answer.upgrade() else { return Followed::Ended };
+fn apply_reply(
+    cx: &Context,
+    answer: &Weak<Answer>,
+    seen: Option<TokenPosition>,
+    reply: ReadReply,
+) -> FollowState {
+    let Some(answer) = answer.upgrade() else { return FollowState::Ended };
     let registered = cx.answers.get(answer.id()).is_some_and(|known| Arc::ptr_eq(&known, &answer));
     match reply {
         ReadReply::Parts { tokens, end, .. } => {
             answer.push(seen.map_or(0, |seen| seen.number + 1), tokens);
-            let Some(end) = end else { return Followed::GoesOn };
+            let Some(end) = end else { return FollowState::Continues };
             if matches!(end, AnswerEnd::Moved(_)) {
-                return Followed::Lost;
+                return FollowState::OwnerLost;
             }
             answer.end(end);
             if registered {
                 cx.answers.finished(cx.clock.now(), answer.id());
             }
-            Followed::Ended
+            FollowState::Ended
         }
         ReadReply::Diverged => {
-            let message = "the answer was written anew with other words; read it from the start";
+            let message =
+                "the answer was regenerated with a different text; read it from the beginning";
             let error = ApiError::not_run(ApiCode::StreamDiverged, message).ran(Ran::Yes);
             answer.end(AnswerEnd::Failed(error));
             if registered {
                 cx.answers.remove(answer.id());
             }
-            Followed::Ended
+            FollowState::Ended
         }
-        ReadReply::Unknown | ReadReply::Holder | ReadReply::WentTo(_) => Followed::Lost,
+        ReadReply::Unknown | ReadReply::Holder | ReadReply::MovedTo(_) => FollowState::OwnerLost,
     }
 }
 
-// While a dead owner's holder has not yet taken over, nobody owns the request. The holder says
-// that it has a copy, and the question is asked again until somebody owns it.
+// A request has no owner from the death of its owner until the copy holder takes over. The holder
+// replies meanwhile that it has a copy, and the query is repeated until a node owns the request.
 async fn locate(
     cx: &Arc<Context>,
     team: &TeamName,
     id: RequestId,
-    seen: Option<Place>,
+    seen: Option<TokenPosition>,
 ) -> Option<Found> {
     let until = Instant::now() + FIND_WAIT;
     let mut rounds = 0;
-    let standing = || cx.ownership.send(StandingOf { team: team.clone(), id });
+    let role = || cx.ownership.send(GetRequestRole { team: team.clone(), id });
     while Instant::now() < until {
         let mut hint = id.origin;
-        if let Ok(Standing::WentTo(to)) = standing().await {
+        if let Ok(RequestRole::MovedTo(to)) = role().await {
             hint = to;
         }
-        let (found, copied) = one_round(cx, team, id, seen, hint).await;
+        let (found, copy_exists) = query_round(cx, team, id, seen, hint).await;
         if found.is_some() {
             return found;
         }
-        let held = matches!(standing().await, Ok(Standing::Holder));
+        let is_holder = matches!(role().await, Ok(RequestRole::Holder));
         rounds += 1;
-        if FIND_ROUNDS <= rounds && !copied && !held {
+        if MAX_UNKNOWN_ROUNDS <= rounds && !copy_exists && !is_holder {
             return None;
         }
         sleep(FIND_PAUSE).await;
@@ -179,43 +187,43 @@
     None
 }
 
-async fn one_round(
+async fn query_round(
     cx: &Arc<Context>,
     team: &TeamName,
     id: RequestId,
-    seen: Option<Place>,
+    seen: Option<TokenPosition>,
     mut hint: Incarnation,
 ) -> (Option<Found>, bool) {
     let read = Read { team: team.clone(), id, seen, mode: ReadMode::Look };
-    for _ in 0..FORWARDS {
-        let Some(at) = cx.members.find(hint) else { break };
-        match ask(cx, at, read.clone()).await {
-            Some(Found { reply: ReadReply::WentTo(to), .. }) if to != hint => hint = to,
+    for _ in 0..MAX_FORWARDS {
+        let Some(node) = cx.members.find(hint) else { break };
+        match read_from_node(cx, node, read.clone()).await {
+            Some(Found { reply: ReadReply::MovedTo(to), .. }) if to != hint => hint = to,
             Some(found) if is_answer(&found.reply) => return (Some(found), true),
             _ => break,
         }
     }
     let members = cx.members.current();
-    let mut asked = FuturesUnordered::new();
+    let mut replies = FuturesUnordered::new();
     for member in members.iter() {
-        asked.push(ask(cx, member.clone(), read.clone()));
+        replies.push(read_from_node(cx, member.clone(), read.clone()));
     }
-    let mut copied = false;
-    while let Some(found) = asked.next().await {
+    let mut copy_exists = false;
+    while let Some(found) = replies.next().await {
         let Some(found) = found else { continue };
         if is_answer(&found.reply) {
             return (Some(found), true);
         }
-        copied |= matches!(found.reply, ReadReply::Holder);
+        copy_exists |= matches!(found.reply, ReadReply::Holder);
     }
-    (None, copied)
+    (None, copy_exists)
 }
 
 fn is_answer(reply: &ReadReply) -> bool {
     matches!(reply, ReadReply::Parts { .. } | ReadReply::Diverged)
 }
 
-async fn ask(cx: &Arc<Context>, at: Member, read: Read) -> Option<Found> {
-    let reply = cx.peers.send(cx, at.peers, Some(at.incarnation), read).await.ok()?;
-    Some(Found { at, reply })
+async fn read_from_node(cx: &Arc<Context>, node: Member, read: Read) -> Option<Found> {
+    let reply = cx.peers.send(cx, node.peers, Some(node.incarnation), read).await.ok()?;
+    Some(Found { node, reply })
 }
--- a/crates/daemon/src/handoff/messages.rs
+++ b/crates/daemon/src/handoff/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between nodes that carry ownership, and reading from any node.
+//! The messages between nodes for ownership, reads and cancellations.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,23 +8,23 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::{
-    answers::{Answer, AnswerEnd, Place},
+    answers::{Answer, AnswerEnd, TokenPosition},
     context::Context,
-    handoff::{Receive, Standing, StandingOf, find},
+    handoff::{GetRequestRole, Receive, RequestRole, find},
     peers::{PeerMessage, PeerPort},
 };
 
-/// The longest time that a reader at another node is kept waiting for something new.
-const READ_WAIT: Duration = Duration::from_millis(800);
+/// The maximum time that a reply to a waiting reader is held back for new tokens.
+const MAX_READ_WAIT: Duration = Duration::from_millis(800);
 
-/// A `Batch` holds what one node has to tell another about requests.
+/// A `Batch` is a list of ownership messages from one node to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Batch {
     /// The messages.
     pub messages: Vec<Message>,
 }
 
-/// A `Read` asks another node for what follows in an answer.
+/// A `Read` asks another node for the next tokens of an answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Read {
     /// The team that reads.
@@ -32,32 +32,33 @@
     /// The request.
     pub id: RequestId,
     /// The last token that the reader has.
-    pub seen: Option<Place>,
-    /// Whether the reply is to wait until something is there.
+    pub seen: Option<TokenPosition>,
+    /// Whether the reply waits for new tokens.
     pub mode: ReadMode,
 }
 
-/// A `ReadMode` tells whether a reader waits.
+/// A `ReadMode` tells whether the reply to a read waits for new tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReadMode {
-    /// The reply comes at once.
+    /// The reply is sent at once.
     Look,
-    /// The reply comes when something is new, or after a while.
+    /// The reply is sent once there are new tokens or the answer has ended, or after a timeout.
     Wait,
 }
 
-/// A `ReadReply` is what a node knows of an answer.
+/// A `ReadReply` is the reply to a [`Read`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ReadReply {
-    /// Nothing, or nothing that the team may see.
+    /// The node does not know the request, or the team may not see it.
     Unknown,
-    /// It holds a copy, whose owner it believes to be alive.
+    /// The node holds a copy and considers the owner alive.
     Holder,
-    /// The request went to this life of a node.
-    WentTo(Incarnation),
-    /// What the reader saw is not the beginning of this answer.
+    /// The request was handed over to this incarnation of a node.
+    #[serde(rename = "WentTo")]
+    MovedTo(Incarnation),
+    /// The part that the reader has seen is not the beginning of this answer.
     Diverged,
-    /// What follows.
+    /// The next tokens.
     Parts {
         /// The model that answers.
         model: ModelName,
@@ -94,7 +95,7 @@
     type Reply = bool;
 }
 
-/// Registers what is done with the messages.
+/// Registers the handlers of these messages.
 pub fn register(port: &mut PeerPort) {
     port.register(|cx: Arc<Context>, from, batch: Batch| async move {
         let receive = Receive { from: from.incarnation, messages: batch.messages };
@@ -109,18 +110,18 @@
 
 async fn reply(cx: &Context, read: Read) -> ReadReply {
     let answer = cx.answers.get(read.id);
-    let standing = cx.ownership.send(StandingOf { team: read.team.clone(), id: read.id }).await;
-    let standing = standing.unwrap_or(Standing::Unknown);
-    match (answer, standing) {
-        (Some(answer), Standing::Owner) if *answer.team() == read.team => {
-            parts(&answer, &read).await
+    let role = cx.ownership.send(GetRequestRole { team: read.team.clone(), id: read.id }).await;
+    let role = role.unwrap_or(RequestRole::Unknown);
+    match (answer, role) {
+        (Some(answer), RequestRole::Owner) if *answer.team() == read.team => {
+            read_parts(&answer, &read).await
         }
-        // An ended answer is kept here, unless the end only says that it went on elsewhere.
+        // A node keeps finished answers; one that was only moved is continued by another node.
         (Some(answer), _) if *answer.team() == read.team && is_final(&answer) => {
-            parts(&answer, &read).await
+            read_parts(&answer, &read).await
         }
-        (_, Standing::WentTo(to)) if to != cx.incarnation => ReadReply::WentTo(to),
-        (_, Standing::Holder) => ReadReply::Holder,
+        (_, RequestRole::MovedTo(to)) if to != cx.incarnation => ReadReply::MovedTo(to),
+        (_, RequestRole::Holder) => ReadReply::Holder,
         _ => ReadReply::Unknown,
     }
 }
@@ -129,19 +130,20 @@
     matches!(answer.ended(), Some(AnswerEnd::Whole(_) | AnswerEnd::Failed(_)))
 }
 
-async fn parts(answer: &Arc<Answer>, read: &Read) -> ReadReply {
+async fn read_parts(answer: &Arc<Answer>, read: &Read) -> ReadReply {
     let first = read.seen.map_or(0, |seen| seen.number + 1);
-    let until = Instant::now() + READ_WAIT;
+    let until = Instant::now() + MAX_READ_WAIT;
     let mut reader = answer.read_from(first).after(read.seen);
     if read.mode == ReadMode::Wait {
-        let _ = timeout_at(until, reader.ready_or_ended()).await;
+        let _ = timeout_at(until, reader.wait_ready()).await;
     }
     if let Some(seen) = read.seen
-        && (answer.has(seen) == Some(false) || answer.has(seen).is_none() && is_final(answer))
+        && (answer.contains(seen) == Some(false)
+            || answer.contains(seen).is_none() && is_final(answer))
     {
         return ReadReply::Diverged;
     }
-    let (tokens, end) = answer.since(first);
+    let (tokens, end) = answer.tokens_from(first);
     let (model, class) = (answer.model().clone(), answer.class().clone());
     ReadReply::Parts { model, class, tokens, end }
 }
--- a/crates/daemon/src/handoff/mod.rs
+++ b/crates/daemon/src/handoff/mod.rs
@@ -1,5 +1,5 @@
-//! Ownership of accepted requests over the nodes: copies, takeovers, handovers and reading from
-//! any node.
+//! Ownership of accepted requests across nodes: copies, takeovers, handovers and reads from any
+//! node.
 
 mod abandon;
 mod drain;
@@ -16,8 +16,8 @@
 pub use find::{cancel, find, follow};
 pub use messages::{Batch, Cancel, Read, ReadReply, register};
 pub use ownership_actor::{
-    Accept, Ended, HandOver, OwnershipActor, Produced, Receive, SetMembers, Standing, StandingOf,
-    Sweep, Tick, Undelivered,
+    Accept, Ended, GetRequestRole, HandOver, OwnershipActor, Produced, Receive, RequestRole,
+    SetMembers, Sweep, Tick, Undelivered,
 };
 pub use portable::Portable;
 pub use recomputed::{Cause, Recomputed};
--- a/crates/daemon/src/handoff/ownership_actor.rs
+++ b/crates/daemon/src/handoff/ownership_actor.rs
@@ -1,4 +1,4 @@
-//! The actor that feeds the ownership machine and carries out what it decides.
+//! The actor that runs the ownership state machine and carries out its actions.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,11 +25,11 @@
     members::Member,
 };
 
-/// An `OwnershipActor` knows which requests this node owns and which copies it holds.
+/// An `OwnershipActor` tracks the requests that this node owns and the copies that it holds.
 pub struct OwnershipActor {
     cx: Arc<Context>,
     machine: Ownership,
-    waiting: HashMap<RequestId, oneshot::Sender<CopyLocation>>,
+    waiting_for_copy: HashMap<RequestId, oneshot::Sender<CopyLocation>>,
     addresses: HashMap<Incarnation, SocketAddr>,
 }
 
@@ -37,23 +37,23 @@
 pub struct Accept {
     /// The request.
     pub id: RequestId,
-    /// What it asks for, encoded.
+    /// The encoded request.
     pub body: Bytes,
-    /// Gets where the copy is once it is there.
+    /// Receives the location of the copy once there is one, or that there is none.
     pub copied: oneshot::Sender<CopyLocation>,
 }
 
-/// `Produced` are new tokens of an owned request.
+/// A `Produced` is a new token of an owned request.
 pub struct Produced {
     /// The request.
     pub id: RequestId,
-    /// The version under which it is run.
+    /// The version under which the request is run.
     pub version: Version,
     /// The token.
     pub token: String,
 }
 
-/// An `Ended` tells how the answer to an owned request ended.
+/// An `Ended` reports how the answer to an owned request ended.
 pub struct Ended {
     /// The request.
     pub id: RequestId,
@@ -61,7 +61,7 @@
     pub end: AnswerEnd,
 }
 
-/// A `Receive` brings the messages of another node; what is returned goes back to it.
+/// A `Receive` delivers the messages of another node and returns the replies to it.
 pub struct Receive {
     /// The node.
     pub from: Incarnation,
@@ -69,45 +69,45 @@
     pub messages: Vec<Message>,
 }
 
-/// An `Undelivered` tells that messages to a node could not be delivered.
+/// An `Undelivered` reports that messages to a node could not be delivered.
 pub struct Undelivered {
     /// The node.
     pub to: Incarnation,
-    /// The requests that they were about.
+    /// The requests that the messages were about.
     pub ids: Vec<RequestId>,
 }
 
-/// A `SetMembers` tells which nodes are believed to be alive.
+/// A `SetMembers` sets the nodes that are considered alive.
 pub struct SetMembers(pub Arc<Vec<Member>>);
 
-/// A `HandOver` asks for requests to be offered to other nodes.
+/// A `HandOver` offers requests to other nodes.
 pub struct HandOver(pub Vec<RequestId>);
 
-/// A `StandingOf` asks what this node is to a team's request.
-pub struct StandingOf {
+/// A `GetRequestRole` asks for the role of this node for a team's request.
+pub struct GetRequestRole {
     /// The team that asks.
     pub team: TeamName,
     /// The request.
     pub id: RequestId,
 }
 
-/// A `Standing` tells what a node is to a request.
+/// A `RequestRole` is the role of a node for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It owns it.
+pub enum RequestRole {
+    /// The node owns the request.
     Owner,
-    /// It holds a copy.
+    /// The node holds a copy.
     Holder,
-    /// It went to another life of a node.
-    WentTo(Incarnation),
-    /// Nothing is known of it.
+    /// The request was handed over to another node incarnation.
+    MovedTo(Incarnation),
+    /// The node does not know the request.
     Unknown,
 }
 
-/// A `Tick` sends what is due.
+/// A `Tick` sends the messages that are due.
 pub struct Tick;
 
-/// A `Sweep` looks for takeovers, repeats and time-outs.
+/// A `Sweep` checks all requests for takeovers, retransmissions and timeouts.
 pub struct Sweep;
 
 impl OwnershipActor {
@@ -115,7 +115,7 @@
     pub fn new(cx: Arc<Context>) -> OwnershipActor {
         let zone = cx.settings.node.zone.clone();
         let machine = Ownership::new(cx.incarnation, zone, OwnershipOptions::default());
-        OwnershipActor { cx, machine, waiting: HashMap::new(), addresses: HashMap::new() }
+        OwnershipActor { cx, machine, waiting_for_copy: HashMap::new(), addresses: HashMap::new() }
     }
 
     fn carry_out(&mut self, actions: Vec<Action>) {
@@ -124,7 +124,7 @@
             match action {
                 Action::Send(to, message) => messages.entry(to).or_default().push(message),
                 Action::Accepted(id, copied) => {
-                    let Some(tx) = self.waiting.remove(&id) else { continue };
+                    let Some(tx) = self.waiting_for_copy.remove(&id) else { continue };
                     let _ = tx.send(copied);
                 }
                 Action::Start { id, version, body, tokens } => {
@@ -181,7 +181,7 @@
     }
 
     fn start(&self, id: RequestId, version: Version, body: &[u8], tokens: Vec<String>) {
-        // A body that this node cannot read was written by another version of the daemon.
+        // A body that cannot be decoded was encoded by another version of the daemon.
         let Ok(portable) = Portable::decode(body) else {
             tracing::error!(event = Event::HandoffFailed.number(), request = %id);
             return;
@@ -191,12 +191,12 @@
         } else {
             Cause::Takeover
         };
-        tracing::info!(event = Event::RequestTaken.number(), request = %id, cause = cause.word());
+        tracing::info!(event = Event::RequestTaken.number(), request = %id, cause = cause.as_str());
         let answer = portable.answer(id);
         answer.set_may_have_run();
         self.cx.answers.insert(Arc::clone(&answer));
         let run = relay::Run { portable, answer, version, emitted: tokens, cause };
-        tokio::spawn(relay::traced(Arc::clone(&self.cx), run, None));
+        tokio::spawn(relay::run_traced(Arc::clone(&self.cx), run, None));
     }
 
     fn keep(&self, id: RequestId, body: &[u8], tokens: Vec<String>, end: &[u8]) {
@@ -224,7 +224,7 @@
     type Return = ();
 
     async fn handle(&mut self, accept: Accept, _cx: &mut xtra::Context<Self>) {
-        self.waiting.insert(accept.id, accept.copied);
+        self.waiting_for_copy.insert(accept.id, accept.copied);
         let actions = self.machine.accept(self.cx.clock.now(), accept.id, accept.body);
         self.carry_out(actions);
     }
@@ -286,7 +286,7 @@
     async fn handle(&mut self, set: SetMembers, _cx: &mut xtra::Context<Self>) {
         let mut peers = Vec::new();
         for member in set.0.iter() {
-            // Replies and handovers may still be due to a node that is no member any more.
+            // Addresses are kept, since a removed member may still be due replies and handovers.
             self.addresses.insert(member.incarnation, member.peers);
             peers.push(Peer {
                 incarnation: member.incarnation,
@@ -310,20 +310,20 @@
     }
 }
 
-impl Handler<StandingOf> for OwnershipActor {
-    type Return = Standing;
+impl Handler<GetRequestRole> for OwnershipActor {
+    type Return = RequestRole;
 
-    async fn handle(&mut self, of: StandingOf, _cx: &mut xtra::Context<Self>) -> Standing {
-        if self.machine.version(of.id).is_some() {
-            return Standing::Owner;
+    async fn handle(&mut self, get: GetRequestRole, _cx: &mut xtra::Context<Self>) -> RequestRole {
+        if self.machine.version(get.id).is_some() {
+            return RequestRole::Owner;
         }
-        // Another team must not learn that the request exists, not even from the time that a
-        // search for its owner takes.
-        if let Some(body) = self.machine.held_body(of.id) {
-            let held = Portable::decode(body).is_ok_and(|it| it.team == of.team);
-            return if held { Standing::Holder } else { Standing::Unknown };
+        // Another team must not find out that the request exists, not even from the duration of a
+        // search for its owner.
+        if let Some(body) = self.machine.held_body(get.id) {
+            let is_visible = Portable::decode(body).is_ok_and(|it| it.team == get.team);
+            return if is_visible { RequestRole::Holder } else { RequestRole::Unknown };
         }
-        self.machine.moved_to(of.id).map_or(Standing::Unknown, Standing::WentTo)
+        self.machine.moved_to(get.id).map_or(RequestRole::Unknown, RequestRole::MovedTo)
     }
 }
 
--- a/crates/daemon/src/handoff/portable.rs
+++ b/crates/daemon/src/handoff/portable.rs
@@ -1,4 +1,4 @@
-//! An accepted request in the form in which it goes from node to node.
+//! The encoding of accepted requests that are sent between nodes.
 
 use std::sync::Arc;
 
@@ -12,14 +12,14 @@
     callers::classify::Classified,
 };
 
-/// A `Portable` is an accepted request in the form in which it goes from node to node.
+/// A `Portable` is an accepted request in the form in which nodes send it to each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Portable {
     /// The team that the request came from.
     pub team: TeamName,
-    /// What it asks for.
+    /// The request.
     pub request: Classified,
-    /// The span that it was accepted in, where that is collected.
+    /// The trace context of the span in which it was accepted, if traces are collected.
     #[serde(default)]
     pub trace_parent: Option<String>,
 }
@@ -31,12 +31,12 @@
         rmp_serde::to_vec_named(self).map(Bytes::from).map_err(malformed)
     }
 
-    /// Returns the request that `bytes` hold.
+    /// Decodes a request.
     pub fn decode(bytes: &[u8]) -> Result<Portable, CallError> {
         rmp_serde::from_slice(bytes).map_err(|_| CallError::not_done(CallFault::Malformed))
     }
 
-    /// Returns an answer to the request that has no tokens yet.
+    /// Returns a new answer to the request, without tokens.
     pub fn answer(&self, id: RequestId) -> Arc<Answer> {
         let Classified { model, class, .. } = &self.request;
         let answer = Answer::new(id, self.team.clone(), model.clone(), class.clone());
@@ -45,13 +45,13 @@
     }
 }
 
-/// Returns the encoded form of an end.
+/// Encodes the end of an answer.
 pub(super) fn encode_end(end: &AnswerEnd) -> Bytes {
-    // An end holds only text and numbers, for which serialization cannot fail.
+    // An end holds only text and numbers, whose serialization cannot fail.
     Bytes::from(rmp_serde::to_vec_named(end).unwrap_or_default())
 }
 
-/// Returns the end that `bytes` hold.
+/// Decodes the end of an answer.
 pub(super) fn decode_end(bytes: &[u8]) -> Option<AnswerEnd> {
     rmp_serde::from_slice(bytes).ok()
 }
--- a/crates/daemon/src/keyed/claimer.rs
+++ b/crates/daemon/src/keyed/claimer.rs
@@ -1,4 +1,4 @@
-//! The actor that feeds the claims machine and makes its calls to the key-value service.
+//! The actor that runs the claims state machine and makes its calls to the key-value service.
 
 use std::{
     collections::HashMap,
@@ -22,36 +22,36 @@
 
 /// The pause between two ticks.
 const TICK_PAUSE: Duration = Duration::from_millis(50);
-/// The longest time that one call to the key-value service may take.
+/// The timeout of one call to the key-value service.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-type Answer = Result<Incarnation, ClaimRefusal>;
+type BindResult = Result<Incarnation, ClaimRefusal>;
 
-/// A `Claimer` learns the homes of keys.
+/// A `Claimer` looks up and claims the home nodes of idempotency keys.
 pub struct Claimer {
     clock: Clock,
     machine: Claims,
     key_value: Option<Arc<dyn KeyValue>>,
-    waiting: HashMap<KeyHash, Vec<oneshot::Sender<Answer>>>,
+    waiting: HashMap<KeyHash, Vec<oneshot::Sender<BindResult>>>,
 }
 
-/// A `Bind` asks for the home of a key, which is claimed if it has none.
+/// A `Bind` asks for the home of a key and claims the key if it has none.
 pub struct Bind {
     /// The key.
     pub key: KeyHash,
-    /// The life that becomes its home if it has none.
+    /// The node incarnation that becomes its home if it has none.
     pub wanted: Incarnation,
-    /// Gets the home.
-    pub home: oneshot::Sender<Answer>,
+    /// Receives the home.
+    pub home: oneshot::Sender<BindResult>,
 }
 
-/// A `ReadBack` brings what a read found.
-pub struct ReadBack(Shard, Option<(u64, Bytes)>);
+/// A `ReadDone` is the result of a read.
+pub struct ReadDone(Shard, Option<(u64, Bytes)>);
 
-/// A `SwapBack` brings how a compare-and-swap ended.
-pub struct SwapBack(Shard, SwapResult);
+/// A `SwapDone` is the result of a compare-and-swap.
+pub struct SwapDone(Shard, SwapResult);
 
-/// A `ClaimerTick` lets time pass.
+/// A `ClaimerTick` advances the time of the claims state machine.
 pub struct ClaimerTick;
 
 impl Claimer {
@@ -65,29 +65,29 @@
     fn carry_out(&mut self, actions: Vec<ClaimsAction>, cx: &Context<Self>) {
         for action in actions {
             match action {
-                ClaimsAction::Bound(key, home) => self.answer(key, Ok(home)),
-                ClaimsAction::Refused(key, why) => self.answer(key, Err(why)),
+                ClaimsAction::Bound(key, home) => self.resolve(key, Ok(home)),
+                ClaimsAction::Refused(key, why) => self.resolve(key, Err(why)),
                 ClaimsAction::Read(shard) => {
                     let (claimer, key_value) = (cx.mailbox().address(), self.key_value.clone());
                     tokio::spawn(async move {
                         let found = read(key_value, shard).await;
-                        let _ = claimer.send(ReadBack(shard, found)).await;
+                        let _ = claimer.send(ReadDone(shard, found)).await;
                     });
                 }
                 ClaimsAction::Write(shard, version, record) => {
                     let (claimer, key_value) = (cx.mailbox().address(), self.key_value.clone());
                     tokio::spawn(async move {
                         let swapped = write(key_value, shard, version, record).await;
-                        let _ = claimer.send(SwapBack(shard, swapped)).await;
+                        let _ = claimer.send(SwapDone(shard, swapped)).await;
                     });
                 }
             }
         }
     }
 
-    fn answer(&mut self, key: KeyHash, answer: Answer) {
+    fn resolve(&mut self, key: KeyHash, home: BindResult) {
         for tx in self.waiting.remove(&key).unwrap_or_default() {
-            let _ = tx.send(answer);
+            let _ = tx.send(home);
         }
     }
 }
@@ -111,25 +111,25 @@
             return;
         }
         self.waiting.entry(bind.key).or_default().push(bind.home);
-        let actions = self.machine.bind(self.clock.now(), wall(), bind.key, bind.wanted);
+        let actions = self.machine.bind(self.clock.now(), wall_clock_ms(), bind.key, bind.wanted);
         self.carry_out(actions, cx);
     }
 }
 
-impl Handler<ReadBack> for Claimer {
+impl Handler<ReadDone> for Claimer {
     type Return = ();
 
-    async fn handle(&mut self, back: ReadBack, cx: &mut Context<Self>) {
-        let actions = self.machine.read(self.clock.now(), wall(), back.0, back.1);
+    async fn handle(&mut self, done: ReadDone, cx: &mut Context<Self>) {
+        let actions = self.machine.read(self.clock.now(), wall_clock_ms(), done.0, done.1);
         self.carry_out(actions, cx);
     }
 }
 
-impl Handler<SwapBack> for Claimer {
+impl Handler<SwapDone> for Claimer {
     type Return = ();
 
-    async fn handle(&mut self, back: SwapBack, cx: &mut Context<Self>) {
-        let actions = self.machine.swapped(self.clock.now(), wall(), back.0, back.1);
+    async fn handle(&mut self, done: SwapDone, cx: &mut Context<Self>) {
+        let actions = self.machine.swapped(self.clock.now(), wall_clock_ms(), done.0, done.1);
         self.carry_out(actions, cx);
     }
 }
@@ -138,12 +138,12 @@
     type Return = ();
 
     async fn handle(&mut self, _tick: ClaimerTick, cx: &mut Context<Self>) {
-        let actions = self.machine.tick(self.clock.now(), wall());
+        let actions = self.machine.tick(self.clock.now(), wall_clock_ms());
         self.carry_out(actions, cx);
     }
 }
 
-/// Lets the claimer's time pass.
+/// Sends ticks to the claimer.
 pub async fn run_timer(claimer: xtra::Address<Claimer>) {
     loop {
         sleep(TICK_PAUSE).await;
@@ -153,7 +153,7 @@
 
 async fn read(key_value: Option<Arc<dyn KeyValue>>, shard: Shard) -> Option<(u64, Bytes)> {
     let key_value = key_value?;
-    let key = key_of(shard);
+    let key = record_key(shard);
     let read = tokio::time::timeout(CALL_TIMEOUT, key_value.get(&key)).await;
     let found = read.ok()?.ok()?;
     Some((found.version.0, found.value))
@@ -166,7 +166,7 @@
     record: Bytes,
 ) -> SwapResult {
     let Some(key_value) = key_value else { return SwapResult::Failed };
-    let key = key_of(shard);
+    let key = record_key(shard);
     let write = key_value.put_if(&key, Version(version), record, None);
     match tokio::time::timeout(CALL_TIMEOUT, write).await {
         Ok(Ok(CasOutcome::Written(version))) => SwapResult::Written(version.0),
@@ -175,11 +175,11 @@
     }
 }
 
-fn key_of(shard: Shard) -> String {
+fn record_key(shard: Shard) -> String {
     format!("claims/{}", shard.0)
 }
 
-fn wall() -> u64 {
+fn wall_clock_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/daemon/src/keyed/home.rs
+++ b/crates/daemon/src/keyed/home.rs
@@ -1,4 +1,4 @@
-//! Running a call at its key's home, or passing it on there.
+//! Running calls with an idempotency key at the home of the key, or forwarding them there.
 
 use std::{
     sync::{Arc, MutexGuard},
@@ -25,53 +25,53 @@
 use crate::{
     callers::{ApiCode, ApiError, services},
     context::Context,
-    keyed::{Bind, ClaimFor, KeyedCall, KeyedReply, Stored},
+    keyed::{Bind, ClaimKey, KeyedCall, KeyedReply, StoredResponse},
     members::Member,
 };
 
-/// A `Keyed` call ends with the service's answer or a typed error.
-pub type Keyed = Result<Stored, ApiError>;
+/// A `KeyedResult` is the response of the service or a typed error.
+pub type KeyedResult = Result<StoredResponse, ApiError>;
 
-/// The pause between two looks at a call that runs.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
-/// How long a node that passed a call on is kept waiting before it has to ask again.
-const REPLY_WAIT: Duration = Duration::from_millis(800);
-/// What a call may take beyond the service's own time-out.
-const GRACE: Duration = Duration::from_secs(2);
-/// When a caller may come back that was refused because of an outage.
-const OUTAGE_RETRY: Duration = Duration::from_secs(2);
+/// The pause between two checks of a running call.
+const POLL_PAUSE: Duration = Duration::from_millis(10);
+/// How long a reply to a node that forwarded a call is held back before that node has to ask again.
+const MAX_REPLY_WAIT: Duration = Duration::from_millis(800);
+/// The time that a call may take in addition to the timeout of its service.
+const CALL_GRACE: Duration = Duration::from_secs(2);
+/// After which time a caller that was refused because of an outage may retry.
+const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Runs a call with a key at most once, wherever the key's home is.
-pub async fn call(cx: &Arc<Context>, call: KeyedCall) -> Keyed {
-    let until = Instant::now() + timeout_of(cx, &call) + GRACE;
+/// Runs a call with an idempotency key at most once, whichever node is the home of the key.
+pub async fn call(cx: &Arc<Context>, call: KeyedCall) -> KeyedResult {
+    let until = Instant::now() + timeout_of(cx, &call) + CALL_GRACE;
     loop {
-        match once(cx, &call).await {
+        match try_call(cx, &call).await {
             KeyedReply::Answered(stored) => return Ok(stored),
             KeyedReply::Failed(error) => return Err(error),
             KeyedReply::Running if until <= Instant::now() => {
-                let message = "a call with this key still runs";
+                let message = "a call with this key is still running";
                 return Err(ApiError::not_run(ApiCode::KeyInProgress, message).ran(Ran::Unknown));
             }
-            KeyedReply::Running => sleep(LOOK_PAUSE).await,
+            KeyedReply::Running => sleep(POLL_PAUSE).await,
         }
     }
 }
 
-/// Takes a call that another node passed on.
-pub(super) async fn passed_on(cx: &Arc<Context>, call: KeyedCall) -> KeyedReply {
+/// Handles a call that another node has forwarded.
+pub(super) async fn handle_forwarded(cx: &Arc<Context>, call: KeyedCall) -> KeyedReply {
     match call.ticket {
-        Some(_) => at_home(cx, &call).await,
-        None if cx.is_leaving() => KeyedReply::Failed(leaving(Ran::Unknown)),
-        None => once(cx, &call).await,
+        Some(_) => run_at_home(cx, &call).await,
+        None if cx.is_leaving() => KeyedReply::Failed(leaving_error(Ran::Unknown)),
+        None => try_call(cx, &call).await,
     }
 }
 
-async fn once(cx: &Arc<Context>, call: &KeyedCall) -> KeyedReply {
+async fn try_call(cx: &Arc<Context>, call: &KeyedCall) -> KeyedReply {
     let home = match call.ticket {
         Some(home) => home,
-        None if cx.is_leaving() => match successor(cx) {
-            Some(member) => return pass_on(cx, call, member).await,
-            None => return KeyedReply::Failed(leaving(Ran::Unknown)),
+        None if cx.is_leaving() => match first_remaining_member(cx) {
+            Some(member) => return forward(cx, call, member).await,
+            None => return KeyedReply::Failed(leaving_error(Ran::Unknown)),
         },
         None => match bind(cx, call).await {
             Ok(home) => home,
@@ -79,48 +79,48 @@
         },
     };
     if home == cx.incarnation {
-        return at_home(cx, call).await;
+        return run_at_home(cx, call).await;
     }
     match cx.members.find(home) {
         Some(member) => {
             let call = KeyedCall { ticket: Some(home), ..call.clone() };
-            pass_on(cx, &call, member).await
+            forward(cx, &call, member).await
         }
-        None => KeyedReply::Failed(home_gone(home)),
+        None => KeyedReply::Failed(home_unreachable(home)),
     }
 }
 
 async fn bind(cx: &Context, call: &KeyedCall) -> Result<Incarnation, ApiError> {
     let key = KeyHash::new(&call.team, &call.key);
     let mut bound = None;
-    // Nodes that write one record at the same time make each other's writes fail. One of them,
-    // on whom all agree most of the time, writes for all; where they disagree or it is gone, the
-    // compare-and-swap still decides.
+    // Nodes that write the same record at the same time make each other's writes fail. So one node,
+    // on which all usually agree, writes for all of them; if they disagree or that node is dead,
+    // the compare-and-swap still decides.
     if let Some(writer) = writer_of(cx, key) {
-        let claim = ClaimFor { key: key.0, home: cx.incarnation };
+        let claim = ClaimKey { key: key.0, home: cx.incarnation };
         bound = cx.peers.send(cx, writer.peers, Some(writer.incarnation), claim).await.ok();
     }
     let bound = match bound.flatten() {
         Some(home) => Some(Ok(home)),
         None => claim_here(cx, key, cx.incarnation).await,
     };
-    // An earlier try with this key may have run elsewhere, so that nobody can say here that the
-    // call was not run.
+    // An earlier attempt with this key may have run at another node, so this node cannot report
+    // that the call was not run.
     let refused = |code, message| ApiError::not_run(code, message).ran(Ran::Unknown);
     match bound {
         Some(Ok(home)) => Ok(home),
         Some(Err(ClaimRefusal::Full)) => {
-            let message = "no more keys can be remembered now; use a ticket";
-            Err(refused(ApiCode::Overloaded, message).retry_after(OUTAGE_RETRY))
+            let message = "the claim records are full at the moment; use a ticket";
+            Err(refused(ApiCode::Overloaded, message).retry_after(OUTAGE_RETRY_AFTER))
         }
         Some(Err(ClaimRefusal::Outage)) | None => {
-            let message = "the key could not be claimed now; use a ticket";
-            Err(refused(ApiCode::Unavailable, message).retry_after(OUTAGE_RETRY))
+            let message = "the key could not be claimed; use a ticket";
+            Err(refused(ApiCode::Unavailable, message).retry_after(OUTAGE_RETRY_AFTER))
         }
     }
 }
 
-/// Claims a key for `home` at this node; returns its home.
+/// Claims a key for `home` at this node and returns the home of the key.
 pub(super) async fn claim_here(
     cx: &Context,
     key: KeyHash,
@@ -135,72 +135,73 @@
     let shard = ClaimsOptions::default().shard_of(key);
     let rank = |node: Incarnation| xxh3_64_with_seed(&node.0.to_le_bytes(), u64::from(shard.0));
     let members = cx.members.current();
-    let others = members.iter().filter(|member| !member.leaving);
-    let best = others.min_by_key(|member| rank(member.incarnation))?;
+    let candidates = members.iter().filter(|member| !member.leaving);
+    let best = candidates.min_by_key(|member| rank(member.incarnation))?;
     (rank(best.incarnation) < rank(cx.incarnation)).then(|| best.clone())
 }
 
-async fn pass_on(cx: &Context, call: &KeyedCall, to: Member) -> KeyedReply {
+async fn forward(cx: &Context, call: &KeyedCall, to: Member) -> KeyedReply {
     let reply = cx.peers.send(cx, to.peers, Some(to.incarnation), call.clone()).await;
     reply.unwrap_or_else(|error| match error.fault {
         CallFault::Timeout => KeyedReply::Running,
-        _ => KeyedReply::Failed(home_gone(to.incarnation)),
+        _ => KeyedReply::Failed(home_unreachable(to.incarnation)),
     })
 }
 
-// The ledger of this life decides alone; it is the only place that runs the key's call.
-async fn at_home(cx: &Arc<Context>, call: &KeyedCall) -> KeyedReply {
+// The ledger of this node incarnation alone decides whether the call of the key runs; no other node
+// runs it.
+async fn run_at_home(cx: &Arc<Context>, call: &KeyedCall) -> KeyedReply {
     if call.ticket.is_some_and(|home| home != cx.incarnation) {
-        return KeyedReply::Failed(home_gone(cx.incarnation));
+        return KeyedReply::Failed(home_unreachable(cx.incarnation));
     }
     let text = [call.service.as_str().as_bytes(), call.method.as_bytes(), call.path.as_bytes()];
     let hash = xxh3_64(&[&text.join(&b'\n')[..], b"\n", &call.body].concat());
     let known = ledger(cx).get(&call.team, &call.key, hash);
     if known.is_none() && cx.is_leaving() {
-        return KeyedReply::Failed(leaving(Ran::No));
+        return KeyedReply::Failed(leaving_error(Ran::No));
     }
     let claim = ledger(cx).claim(cx.clock.now(), &call.team, &call.key, hash);
     if claim == Claim::Run {
-        // The caller may go away at any time. The run goes on in a task of its own, so that its
-        // outcome is noted all the same and a retry learns it.
+        // The caller may disconnect at any time. The call runs in a task of its own, so that its
+        // outcome is still recorded and a retry receives it.
         tokio::spawn(run(Arc::clone(cx), call.clone()));
     }
-    let until = Instant::now() + REPLY_WAIT;
+    let until = Instant::now() + MAX_REPLY_WAIT;
     loop {
         let known = ledger(cx).get(&call.team, &call.key, hash);
-        if let Some(reply) = settled(cx, known.as_ref(), &claim) {
+        if let Some(reply) = reply_of(cx, known.as_ref(), &claim) {
             return reply;
         }
         if until <= Instant::now() {
             return KeyedReply::Running;
         }
-        sleep(LOOK_PAUSE).await;
+        sleep(POLL_PAUSE).await;
     }
 }
 
-fn settled(cx: &Context, known: Option<&Claim>, claim: &Claim) -> Option<KeyedReply> {
+fn reply_of(cx: &Context, known: Option<&Claim>, claim: &Claim) -> Option<KeyedReply> {
     let failed = |code, message: &str, ran| {
         Some(KeyedReply::Failed(ApiError::not_run(code, message).ran(ran)))
     };
     if *claim == Claim::Full {
-        return failed(ApiCode::Overloaded, "no more keys can be remembered now", Ran::No);
+        return failed(ApiCode::Overloaded, "the ledger of keys is full at the moment", Ran::No);
     }
     match known {
         Some(Claim::Running | Claim::Run) => None,
         Some(Claim::Settled(ran, stored)) => {
-            let stored = stored.as_ref().and_then(|bytes| Stored::decode(bytes));
+            let stored = stored.as_ref().and_then(|bytes| StoredResponse::decode(bytes));
             match stored {
                 Some(stored) => Some(KeyedReply::Answered(stored)),
-                None => failed(ApiCode::BackendFailed, "the call ended without an answer", *ran),
+                None => failed(ApiCode::BackendFailed, "the call ended without a response", *ran),
             }
         }
         Some(Claim::OtherBody) => {
-            // Another call may have run under the key; this one has not.
+            // A different call may have run under the key; this one has not.
             failed(ApiCode::KeyReused, "the key was used for another call", Ran::No)
         }
         Some(Claim::Full) => None,
-        // The call was certainly not run, so that its key is free again.
-        None if cx.is_leaving() => Some(KeyedReply::Failed(leaving(Ran::No))),
+        // The call was certainly not run, so its key is free again.
+        None if cx.is_leaving() => Some(KeyedReply::Failed(leaving_error(Ran::No))),
         None => failed(ApiCode::Unavailable, "no backend server could be reached", Ran::No),
     }
 }
@@ -213,16 +214,16 @@
     let mut attempts = Attempts::default();
     let mut stored = None;
 
-    // Only an attempt that certainly wrote nothing may be followed by another one.
+    // Another attempt is only allowed after one that certainly did not run.
     if let Some(request) = service_call(&call, fence) {
-        for backend in services::by_distance(&cx, &call.service) {
+        for backend in services::backends_by_distance(&cx, &call.service) {
             attempts.begin();
-            let ended = services::pass(&backend, request.clone()).await;
-            attempts.end(judge(cfg, &ended));
+            let ended = services::forward(&backend, request.clone()).await;
+            attempts.end(ran_of(cfg, &ended));
             if let Ok(answer) = ended
                 && attempts.ran() == Ran::Yes
             {
-                stored = Some(Stored::of(&answer).encode());
+                stored = Some(StoredResponse::of(&answer).encode());
             }
             if !attempts.may_retry() {
                 break;
@@ -233,11 +234,11 @@
     ledger(&cx).settle(now, &call.team, &call.key, attempts.ran(), stored);
 }
 
-fn judge(cfg: Option<&ServiceConfig>, ended: &Result<ServiceResponse, CallError>) -> Ran {
+fn ran_of(cfg: Option<&ServiceConfig>, ended: &Result<ServiceResponse, CallError>) -> Ran {
     let fenced = cfg.is_some_and(|cfg| cfg.fencing == Fencing::Checked);
     match ended {
         Err(error) => error.ran,
-        // A backend server that compares fencing numbers has refused before it ran anything.
+        // A backend server that checks fencing numbers refuses the call before it runs anything.
         Ok(answer) if fenced && answer.status == StatusCode::PRECONDITION_FAILED => Ran::No,
         Ok(answer) if answer.status.is_server_error() => Ran::Unknown,
         Ok(_) => Ran::Yes,
@@ -261,17 +262,18 @@
     cfg.map_or(Duration::ZERO, |cfg| cfg.timeout.into())
 }
 
-fn successor(cx: &Context) -> Option<Member> {
+fn first_remaining_member(cx: &Context) -> Option<Member> {
     cx.members.current().iter().find(|member| !member.leaving).cloned()
 }
 
-fn leaving(ran: Ran) -> ApiError {
-    let error = ApiError::not_run(ApiCode::Leaving, "the node takes no new work");
+fn leaving_error(ran: Ran) -> ApiError {
+    let error = ApiError::not_run(ApiCode::Leaving, "the node is leaving and takes no new calls");
     error.ran(ran).retry_after(Duration::from_secs(1))
 }
 
-fn home_gone(home: Incarnation) -> ApiError {
-    let message = format!("the node's life {home} that alone may run this key can't be reached");
+fn home_unreachable(home: Incarnation) -> ApiError {
+    let message =
+        format!("node incarnation {home}, the only one that may run this key, cannot be reached");
     ApiError::not_run(ApiCode::StaleTicket, message).ran(Ran::Unknown)
 }
 
@@ -279,7 +281,7 @@
     cx.ledger.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Returns the headers of a call in the form in which they go from node to node.
+/// Returns the headers of a call in the form in which nodes forward them.
 pub(crate) fn portable_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
     let pairs = headers.iter();
     pairs
--- a/crates/daemon/src/keyed/messages.rs
+++ b/crates/daemon/src/keyed/messages.rs
@@ -1,4 +1,4 @@
-//! Calls with a key that are passed on to the key's home.
+//! The messages between nodes for calls with an idempotency key.
 
 use std::sync::Arc;
 
@@ -10,55 +10,55 @@
 use crate::{
     callers::ApiError,
     context::Context,
-    keyed::{Stored, home},
+    keyed::{StoredResponse, home},
     peers::{PeerMessage, PeerPort},
 };
 
-/// A `KeyedCall` is a call with a key in the form in which it goes from node to node.
+/// A `KeyedCall` is a call with an idempotency key in the form in which nodes forward it.
 ///
-/// Repeating it is harmless: the home runs a key's call once and tells how it went.
+/// Forwarding it again is harmless: the home runs the call of a key once and returns its outcome.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KeyedCall {
     /// The team.
     pub team: TeamName,
     /// The plain service.
     pub service: ServiceName,
-    /// The key.
+    /// The idempotency key.
     pub key: Bytes,
-    /// The life whose ticket the caller gave; none where the key is the caller's own.
+    /// The node incarnation whose ticket the caller sent; none if the home of the key is claimed.
     pub ticket: Option<Incarnation>,
     /// The method.
     pub method: String,
     /// The path and query below the service.
     pub path: String,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub headers: Vec<(String, Bytes)>,
     /// The body.
     pub body: Bytes,
 }
 
-/// A `KeyedReply` tells how a call with a key went.
+/// A `KeyedReply` is the outcome of a call with an idempotency key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum KeyedReply {
-    /// The service answered.
-    Answered(Stored),
+    /// The service responded.
+    Answered(StoredResponse),
     /// The call was refused or failed.
     Failed(ApiError),
-    /// The call still runs; ask again.
+    /// The call is still running; ask again.
     Running,
 }
 
-/// A `ClaimFor` asks the node that writes a record to claim a key; the reply is the key's home,
-/// none if it could not be learnt.
+/// A `ClaimKey` asks the node that writes a claim record to claim a key; the reply is the home of
+/// the key, none if it could not be determined.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct ClaimFor {
+pub struct ClaimKey {
     /// The hash of the key.
     pub key: u128,
-    /// The life that becomes its home if it has none.
+    /// The node incarnation that becomes its home if it has none.
     pub home: Incarnation,
 }
 
-impl PeerMessage for ClaimFor {
+impl PeerMessage for ClaimKey {
     const PATH: &'static str = "/keyed/claim";
     type Reply = Option<Incarnation>;
 }
@@ -68,12 +68,12 @@
     type Reply = KeyedReply;
 }
 
-/// Registers what is done with the messages.
+/// Registers the handlers of these messages.
 pub fn register(port: &mut PeerPort) {
     port.register(|cx: Arc<Context>, _from, call: KeyedCall| async move {
-        home::passed_on(&cx, call).await
+        home::handle_forwarded(&cx, call).await
     });
-    port.register(|cx: Arc<Context>, _from, claim: ClaimFor| async move {
+    port.register(|cx: Arc<Context>, _from, claim: ClaimKey| async move {
         home::claim_here(&cx, KeyHash(claim.key), claim.home).await?.ok()
     });
 }
--- a/crates/daemon/src/keyed/mod.rs
+++ b/crates/daemon/src/keyed/mod.rs
@@ -1,12 +1,13 @@
-//! Calls that may run at most once: each key has one home, and only its home runs the call.
+//! Calls with an idempotency key, which run at most once: each key has one home node, and only that
+//! node runs the call.
 
 mod claimer;
 mod home;
 mod messages;
 mod stored;
 
-pub use claimer::{Bind, Claimer, ClaimerTick, ReadBack, SwapBack, run_timer};
+pub use claimer::{Bind, Claimer, ClaimerTick, ReadDone, SwapDone, run_timer};
 pub(crate) use home::portable_headers;
-pub use home::{Keyed, call};
-pub use messages::{ClaimFor, KeyedCall, KeyedReply, register};
-pub use stored::Stored;
+pub use home::{KeyedResult, call};
+pub use messages::{ClaimKey, KeyedCall, KeyedReply, register};
+pub use stored::StoredResponse;
--- a/crates/daemon/src/keyed/stored.rs
+++ b/crates/daemon/src/keyed/stored.rs
@@ -1,4 +1,4 @@
-//! The answer of a plain service in the form in which it is kept for retries.
+//! Responses of plain services that are stored for retries.
 
 use bulrushhall_external::{
     http::{Body, full},
@@ -11,37 +11,41 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A `Stored` answer is what a caller gets for its key, the first time and on each retry.
+/// A `StoredResponse` is what a caller receives for its key, the first time and on each retry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The type of the body.
+    /// The media type of the body.
     pub content_type: Option<String>,
     /// The body.
     pub body: Bytes,
 }
 
-impl Stored {
-    /// Returns what is kept of a plain service's answer.
-    pub fn of(answer: &ServiceResponse) -> Stored {
-        let content_type = answer.headers.get(CONTENT_TYPE);
+impl StoredResponse {
+    /// Returns the part of a plain service's response that is stored.
+    pub fn of(response: &ServiceResponse) -> StoredResponse {
+        let content_type = response.headers.get(CONTENT_TYPE);
         let content_type = content_type.and_then(|it| it.to_str().ok()).map(str::to_owned);
-        Stored { status: answer.status.as_u16(), content_type, body: answer.body.clone() }
+        StoredResponse {
+            status: response.status.as_u16(),
+            content_type,
+            body: response.body.clone(),
+        }
     }
 
     /// Returns the encoded form.
     pub fn encode(&self) -> Bytes {
-        // It holds only text and numbers, for which serialization cannot fail.
+        // A stored response holds only text and numbers, whose serialization cannot fail.
         Bytes::from(rmp_serde::to_vec_named(self).unwrap_or_default())
     }
 
-    /// Returns the answer that `bytes` hold.
-    pub fn decode(bytes: &[u8]) -> Option<Stored> {
+    /// Decodes a stored response.
+    pub fn decode(bytes: &[u8]) -> Option<StoredResponse> {
         rmp_serde::from_slice(bytes).ok()
     }
 
-    /// Returns the HTTP answer.
+    /// Returns it as an HTTP response.
     pub fn into_response(self) -> Response<Body> {
         let mut res = Response::new(full(self.body));
         *res.status_mut() = StatusCode::from_u16(self.status).unwrap_or(StatusCode::OK);
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Orders run at most once, and what callers are told of them agrees with what was executed.
+//! Calls with an idempotency key run at most once, and callers receive the outcome of that run.
 
 use std::{
     sync::Arc,
@@ -12,15 +12,15 @@
 use serde_json::{Value, json};
 use tokio::{task::JoinSet, time::sleep};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn nodes(count: usize) -> Testbed {
+async fn start_nodes(count: usize) -> Testbed {
     let options = TestbedOptions { nodes: count, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("a testbed");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     for node in &testbed.nodes {
         while node.context().members.current().len() + 1 < count {
-            assert!(Instant::now() < until, "the nodes did not find each other");
+            assert!(Instant::now() < until, "the nodes did not discover each other");
             sleep(Duration::from_millis(10)).await;
         }
     }
@@ -28,10 +28,10 @@
 }
 
 async fn order(caller: &Caller, key: &str, ticket: Option<&str>) -> Result<Value, CallerError> {
-    order_of(caller, key, ticket, "cobalt").await
+    order_pigment(caller, key, ticket, "cobalt").await
 }
 
-async fn order_of(
+async fn order_pigment(
     caller: &Caller,
     key: &str,
     ticket: Option<&str>,
@@ -43,11 +43,11 @@
     caller.json(Method::POST, &path, &headers, &json!({ "pigment": pigment })).await
 }
 
-fn runs(testbed: &Testbed, key: &str) -> u32 {
+fn run_count(testbed: &Testbed, key: &str) -> u32 {
     testbed.ledger.counts().runs.get(key).copied().unwrap_or(0)
 }
 
-fn refused(answer: Result<Value, CallerError>) -> (String, Ran) {
+fn refusal(answer: Result<Value, CallerError>) -> (String, Ran) {
     match answer {
         Err(CallerError::Refused { code, ran, .. }) => (code, ran),
         other => panic!("not refused: {other:?}"),
@@ -58,14 +58,14 @@
     format!("t-{}", testbed.nodes[at].context().incarnation)
 }
 
-// A workshop's connection breaks after it has ordered, and it sends the order again to another
-// address. A second run would fire a second kiln.
+// A caller loses its connection after an order and retries at other nodes. Each retry must get the
+// stored response; a second run would be a second order.
 #[tokio::test(flavor = "multi_thread")]
-async fn retry_elsewhere() {
-    let testbed = nodes(3).await;
+async fn retry_at_other_node() {
+    let testbed = start_nodes(3).await;
     let first = order(&testbed.caller(0), "k-1", None).await.expect("an answer");
     for at in 0..3 {
-        let again = order(&testbed.caller(at), "k-1", None).await.expect("the stored answer");
+        let again = order(&testbed.caller(at), "k-1", None).await.expect("the stored response");
         assert_eq!(again, first);
     }
     let ticket = ticket(&testbed, 1);
@@ -74,13 +74,14 @@
         let again = order(&testbed.caller(at), "k-2", Some(&ticket)).await.expect("stored");
         assert_eq!(again, first);
     }
-    assert_eq!((runs(&testbed, "k-1"), runs(&testbed, "k-2")), (1, 1));
+    assert_eq!((run_count(&testbed, "k-1"), run_count(&testbed, "k-2")), (1, 1));
 }
 
-// A program sends the same key at once to all addresses, as an impatient retry does.
+// A caller sends the same key to all nodes concurrently. The order must run once, and all calls
+// must succeed.
 #[tokio::test(flavor = "multi_thread")]
-async fn same_time() {
-    let testbed = Arc::new(nodes(4).await);
+async fn concurrent_retries() {
+    let testbed = Arc::new(start_nodes(4).await);
     for number in 0..10 {
         let mut orders = JoinSet::new();
         for at in 0..4 {
@@ -93,11 +94,11 @@
     assert_eq!((testbed.ledger.doubled(), testbed.ledger.counts().runs.len()), (0, 10));
 }
 
-// The key-value service takes writes and loses the replies; some take effect much later. A node
-// that took silence for failure would claim a key that another node has too.
+// The key-value service applies writes but loses the replies; some writes take effect much later. A
+// node that treated a lost reply as a failed write would claim a key that another node has claimed.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_claim_replies() {
-    let testbed = Arc::new(nodes(4).await);
+    let testbed = Arc::new(start_nodes(4).await);
     let faults = Faults { lost_replies: 0.4, late_ms: 300, ..Faults::default() };
     testbed.kv.switches().set(faults);
     let mut orders = JoinSet::new();
@@ -112,110 +113,113 @@
     }
     for (key, answer) in orders.join_all().await {
         match answer {
-            Ok(_) => assert_eq!(runs(&testbed, &key), 1, "{key}"),
-            Err(CallerError::Refused { ran: Ran::No, .. }) => panic!("{key}: nobody can know that"),
+            Ok(_) => assert_eq!(run_count(&testbed, &key), 1, "{key}"),
+            Err(CallerError::Refused { ran: Ran::No, .. }) => {
+                panic!("{key}: reported as not run, which no node can know")
+            }
             Err(_) => {}
         }
     }
     assert_eq!(testbed.ledger.doubled(), 0);
 }
 
-// The key-value service is down. Orders with a ticket still run; an order with a key of the
-// caller's own is refused with a time to come back, and nothing of it is run.
+// The key-value service is down. Orders with a ticket must still run; an order without a ticket is
+// refused and must not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn outage() {
-    let testbed = nodes(2).await;
+    let testbed = start_nodes(2).await;
     testbed.kv.switches().set(Faults { outage: true, ..Faults::default() });
     let ticket = ticket(&testbed, 0);
     order(&testbed.caller(0), "k-1", Some(&ticket)).await.expect("an answer");
-    order(&testbed.caller(1), "k-1", Some(&ticket)).await.expect("the stored answer");
-    let (code, ran) = refused(order(&testbed.caller(0), "k-2", None).await);
+    order(&testbed.caller(1), "k-1", Some(&ticket)).await.expect("the stored response");
+    let (code, ran) = refusal(order(&testbed.caller(0), "k-2", None).await);
     assert_eq!((code.as_str(), ran), ("unavailable", Ran::Unknown));
-    assert_eq!((runs(&testbed, "k-1"), runs(&testbed, "k-2")), (1, 0));
+    assert_eq!((run_count(&testbed, "k-1"), run_count(&testbed, "k-2")), (1, 0));
 }
 
-// The node that ran the order has died with all that it knew. Whoever asks again is told that
-// the outcome is unknown; running it again would be a second order.
+// The node that ran an order has died. A retry must be told that the outcome is unknown; running it
+// again would be a second order.
 #[tokio::test(flavor = "multi_thread")]
-async fn home_dies() {
-    let testbed = nodes(3).await;
+async fn home_node_dies() {
+    let testbed = start_nodes(3).await;
     let ticket = ticket(&testbed, 0);
     order(&testbed.caller(0), "k-1", None).await.expect("an answer");
     order(&testbed.caller(0), "k-2", Some(&ticket)).await.expect("an answer");
     testbed.nodes[0].kill();
     for (key, ticket) in [("k-1", None), ("k-2", Some(ticket.as_str()))] {
-        let (code, ran) = refused(order(&testbed.caller(1), key, ticket).await);
+        let (code, ran) = refusal(order(&testbed.caller(1), key, ticket).await);
         assert_eq!((code.as_str(), ran), ("stale_ticket", Ran::Unknown));
-        assert_eq!(runs(&testbed, key), 1);
+        assert_eq!(run_count(&testbed, key), 1);
     }
 }
 
-// A program uses one key for two different orders. The second must neither run nor be answered
-// with the first one's answer.
+// A caller uses one key for two different orders. The second must neither run nor get the response
+// to the first.
 #[tokio::test(flavor = "multi_thread")]
-async fn other_body() {
-    let testbed = nodes(2).await;
-    order_of(&testbed.caller(0), "k-1", None, "cobalt").await.expect("an answer");
+async fn key_reused_for_other_body() {
+    let testbed = start_nodes(2).await;
+    order_pigment(&testbed.caller(0), "k-1", None, "cobalt").await.expect("an answer");
     for at in 0..2 {
-        let (code, ran) = refused(order_of(&testbed.caller(at), "k-1", None, "ochre").await);
+        let (code, ran) = refusal(order_pigment(&testbed.caller(at), "k-1", None, "ochre").await);
         assert_eq!((code.as_str(), ran), ("key_reused", Ran::No));
     }
-    assert_eq!(runs(&testbed, "k-1"), 1);
+    assert_eq!(run_count(&testbed, "k-1"), 1);
 }
 
-// A node is being stopped while a workshop still uses its address. The order runs, once, at a node
-// that stays.
+// A node is leaving while a caller still uses its address. The order must run once, at a node that
+// stays.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_passes_on() {
-    let testbed = nodes(3).await;
+async fn leaving_node_forwards() {
+    let testbed = start_nodes(3).await;
     testbed.nodes[0].context().leave();
     sleep(Duration::from_millis(400)).await;
     let first = order(&testbed.caller(0), "k-1", None).await.expect("an answer");
-    let again = order(&testbed.caller(2), "k-1", None).await.expect("the stored answer");
+    let again = order(&testbed.caller(2), "k-1", None).await.expect("the stored response");
     assert_eq!(first, again);
-    assert_eq!(runs(&testbed, "k-1"), 1);
+    assert_eq!(run_count(&testbed, "k-1"), 1);
     let old = ticket(&testbed, 0);
-    let (code, ran) = refused(order(&testbed.caller(0), "k-2", Some(&old)).await);
-    assert_eq!((code.as_str(), ran, runs(&testbed, "k-2")), ("leaving", Ran::No, 0));
+    let (code, ran) = refusal(order(&testbed.caller(0), "k-2", Some(&old)).await);
+    assert_eq!((code.as_str(), ran, run_count(&testbed, "k-2")), ("leaving", Ran::No, 0));
 }
 
-// No backend server can be reached: nothing was written to any, so the caller is told that the
-// order was not run, and may send it again under the same key once one is back.
+// No backend server can be reached, so nothing was sent to any. The caller must be told that the
+// order was not run, so that it may retry under the same key.
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_written() {
-    let testbed = nodes(1).await;
+async fn no_backend_reachable() {
+    let testbed = start_nodes(1).await;
     testbed.services[0].kill();
-    let (code, ran) = refused(order(&testbed.caller(0), "k-1", None).await);
-    assert_eq!((code.as_str(), ran, runs(&testbed, "k-1")), ("unavailable", Ran::No, 0));
+    let (code, ran) = refusal(order(&testbed.caller(0), "k-1", None).await);
+    assert_eq!((code.as_str(), ran, run_count(&testbed, "k-1")), ("unavailable", Ran::No, 0));
 }
 
-// The backend server executes the order and its answer is lost. To say "not run" would invite a
-// second order, and a retry must not start one either.
+// The backend server executes an order and its response is lost. The caller must not be told that
+// the order was not run, and a retry must not run it again.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_lost() {
-    let testbed = nodes(2).await;
+async fn backend_response_lost() {
+    let testbed = start_nodes(2).await;
     let faults = Faults { lost_replies: 1.0, ..Faults::default() };
     testbed.services[0].switches().set(faults);
     for at in 0..2 {
-        let (_, ran) = refused(order(&testbed.caller(at), "k-1", None).await);
+        let (_, ran) = refusal(order(&testbed.caller(at), "k-1", None).await);
         assert_eq!(ran, Ran::Unknown);
     }
     testbed.services[0].switches().set(Faults::default());
-    let (_, ran) = refused(order(&testbed.caller(1), "k-1", None).await);
-    assert_eq!((ran, runs(&testbed, "k-1")), (Ran::Unknown, 1));
+    let (_, ran) = refusal(order(&testbed.caller(1), "k-1", None).await);
+    assert_eq!((ran, run_count(&testbed, "k-1")), (Ran::Unknown, 1));
 }
 
-// The workshop's program hangs up while its order runs. The outcome must be noted all the same, so
-// that its next try gets the answer.
+// A caller disconnects while its order runs. The outcome must still be recorded, so that a retry
+// gets the response.
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_hangs_up() {
-    let testbed = nodes(1).await;
+async fn caller_disconnects() {
+    let testbed = start_nodes(1).await;
     let faults = Faults { slow_ms: 300, ..Faults::default() };
     testbed.services[0].switches().set(faults);
     let caller = testbed.caller(0);
-    let gone = tokio::time::timeout(Duration::from_millis(100), order(&caller, "k-1", None)).await;
-    assert!(gone.is_err());
+    let called =
+        tokio::time::timeout(Duration::from_millis(100), order(&caller, "k-1", None)).await;
+    assert!(called.is_err());
     drop(caller);
-    order(&testbed.caller(0), "k-1", None).await.expect("the answer of the only run");
-    assert_eq!(runs(&testbed, "k-1"), 1);
+    order(&testbed.caller(0), "k-1", None).await.expect("the response of the only run");
+    assert_eq!(run_count(&testbed, "k-1"), 1);
 }
--- a/crates/daemon/tests/chat_convention.rs
+++ b/crates/daemon/tests/chat_api.rs
@@ -1,4 +1,4 @@
-//! Answers keep to the public chat convention, so that ordinary client libraries can read them.
+//! Answers follow the public chat completion API, so that common client libraries can read them.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const CHAT: &str = "/v1/chat/completions";
 const PROMPT: &str = "user: which slip fits a border tile\n";
 
-async fn testbed() -> Testbed {
+async fn start_testbed() -> Testbed {
     Testbed::start(TestbedOptions::default()).await.expect("a testbed")
 }
 
@@ -27,8 +27,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_answer() {
-    let testbed = testbed().await;
+async fn complete_answer() {
+    let testbed = start_testbed().await;
     let probe = Probe::new(testbed.nodes[0].callers());
     let reply = probe.send(Method::POST, CHAT, body(json!({}))).await.expect("an answer");
 
@@ -51,7 +51,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn streamed_answer() {
-    let testbed = testbed().await;
+    let testbed = start_testbed().await;
     let probe = Probe::new(testbed.nodes[0].callers());
     let extra = json!({ "stream": true, "stream_options": { "include_usage": true } });
     let reply = probe.send(Method::POST, CHAT, body(extra)).await.expect("an answer");
@@ -80,8 +80,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tolerated_fields() {
-    let testbed = testbed().await;
+async fn unknown_fields_are_ignored() {
+    let testbed = start_testbed().await;
     let probe = Probe::new(testbed.nodes[0].callers());
     let extra = json!({
         "temperature": 0.2,
@@ -102,7 +102,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn listed_models() {
-    let testbed = testbed().await;
+    let testbed = start_testbed().await;
     let probe = Probe::new(testbed.nodes[0].callers());
     let list = probe.send(Method::GET, "/v1/models", "").await.expect("an answer").json();
     assert_eq!(list["object"], "list");
@@ -113,20 +113,19 @@
     assert_eq!(shown, list["data"][0]);
 }
 
-// One caller stops reading in the middle of its stream. The frames of other callers' streams
-// must go on meanwhile; were frames handed out by one loop that waits for each caller, one
-// hung caller would stop everybody.
+// One caller stops reading in the middle of its stream. The streams of other callers must continue;
+// if one loop sent all streams and waited for each caller, this caller would block all of them.
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_caller() {
-    let testbed = testbed().await;
+async fn slow_reader_does_not_block_others() {
+    let testbed = start_testbed().await;
     let address = testbed.nodes[0].callers();
     let long = body(json!({ "stream": true, "max_tokens": 4000 }));
-    let held = Probe::new(address).open(Method::POST, CHAT, long).await.expect("a stream");
+    let unread = Probe::new(address).open(Method::POST, CHAT, long).await.expect("a stream");
 
     let other = Probe::new(address);
     let reading = other.send(Method::POST, CHAT, body(json!({ "stream": true })));
     let reply = tokio::time::timeout(Duration::from_secs(20), reading).await;
-    let events = reply.expect("the other stream goes on").expect("an answer").events();
+    let events = reply.expect("the other stream continues").expect("an answer").events();
     assert_eq!(events.last().map(String::as_str), Some("[DONE]"));
-    drop(held);
+    drop(unread);
 }
--- a/crates/daemon/tests/hostile_headers.rs
+++ b/crates/daemon/tests/hostile_headers.rs
@@ -1,4 +1,4 @@
-//! Requests whose headers try to be read in two ways, to be someone else's, or to use up memory.
+//! Requests with ambiguous, forged or oversized headers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,9 +19,9 @@
 const KEY: &str = "sk-workshop-1";
 const SECOND_KEY: &str = "sk-workshop-2";
 const OTHER_KEY: &str = "sk-archive";
-const WAIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-async fn with_keys() -> Testbed {
+async fn start_with_keys() -> Testbed {
     let testbed = Testbed::start(TestbedOptions::default()).await.expect("a testbed");
     let keys = format!(
         "[team workshop]\nkey_hash = {}\nother_key_hash = {}\n",
@@ -40,7 +40,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(WAIT, in_force).await.expect("the configuration in force");
+    timeout(TIMEOUT, in_force).await.expect("the configuration in force");
     testbed
 }
 
@@ -49,7 +49,7 @@
     // The server may answer and close before it has read everything.
     let _ = stream.write_all(text.as_bytes()).await;
     let mut answer = vec![0; 4_096];
-    let read = timeout(WAIT, stream.read(&mut answer)).await.expect("an answer in time");
+    let read = timeout(TIMEOUT, stream.read(&mut answer)).await.expect("an answer in time");
     let read = read.unwrap_or(0);
     String::from_utf8_lossy(&answer[..read]).into_owned()
 }
@@ -59,11 +59,11 @@
     status.and_then(|status| status.parse().ok()).unwrap_or(0)
 }
 
-fn models(headers: &str) -> String {
+fn models_request(headers: &str) -> String {
     format!("GET /v1/models HTTP/1.1\r\nhost: entry\r\n{headers}\r\n")
 }
 
-fn chat(headers: &str) -> String {
+fn chat_request(headers: &str) -> String {
     let body = format!(r#"{{"model":"{MODEL}","messages":[{{"role":"user","content":"x"}}]}}"#);
     let authorization = format!("authorization: Bearer {KEY}\r\n");
     let request = "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\n";
@@ -85,14 +85,14 @@
 #[case::two_keys(&format!("authorization: Bearer {KEY}\r\nauthorization: Bearer {OTHER_KEY}\r\n"), 400)]
 #[case::two_teams("x-team: workshop\r\nx-team: archive\r\n", 400)]
 #[tokio::test(flavor = "multi_thread")]
-async fn team_of_caller(#[case] headers: &str, #[case] status: u16) {
-    let testbed = with_keys().await;
-    let answer = send(testbed.nodes[0].callers(), &models(headers)).await;
+async fn caller_is_identified(#[case] headers: &str, #[case] status: u16) {
+    let testbed = start_with_keys().await;
+    let answer = send(testbed.nodes[0].callers(), &models_request(headers)).await;
     assert_eq!(status_of(&answer), status, "{answer}");
 }
 
-// A proxy before the node and the node disagree where a request ends. What the proxy takes for a
-// body, the node would take for another caller's request.
+// Request smuggling: a proxy in front of the node and the node disagree on where a request ends, so
+// that the node parses a part of a body as another caller's request. Such requests must be refused.
 #[rstest]
 #[case::two_lengths("content-length: 4\r\ncontent-length: 5\r\n")]
 #[case::signed_length("content-length: +4\r\n")]
@@ -105,27 +105,27 @@
 #[case::nul("x-note: a\0b\r\n")]
 #[case::bare_return("x-note: a\rtransfer-encoding: chunked\r\n")]
 #[tokio::test(flavor = "multi_thread")]
-async fn smuggling(#[case] headers: &str) {
-    let testbed = with_keys().await;
-    let answer = send(testbed.nodes[0].callers(), &chat(headers)).await;
+async fn ambiguous_length_is_refused(#[case] headers: &str) {
+    let testbed = start_with_keys().await;
+    let answer = send(testbed.nodes[0].callers(), &chat_request(headers)).await;
     assert_eq!(status_of(&answer), 400, "{answer}");
 }
 
-// With both lengths the server may go by the chunks alone, if it closes the connection then (RFC
-// 9112, section 6.1). What follows must not be taken for a request: a proxy that went by the other
-// length would have sent it as part of a body.
+// If both headers are present, the server may use the chunked coding alone if it closes the
+// connection afterwards (RFC 9112, section 6.1). What follows must not be parsed as a request,
+// since a proxy that used the content length would have sent it as part of a body.
 #[rstest]
 #[case::length_first("content-length: 4\r\ntransfer-encoding: chunked\r\n")]
 #[case::coding_first("transfer-encoding: chunked\r\ncontent-length: 4\r\n")]
 #[tokio::test(flavor = "multi_thread")]
-async fn both_lengths(#[case] headers: &str) {
-    let testbed = with_keys().await;
-    let smuggled = models(&format!("authorization: Bearer {OTHER_KEY}\r\n"));
-    let text = format!("{}{smuggled}", chat(headers));
+async fn length_and_chunked_closes_connection(#[case] headers: &str) {
+    let testbed = start_with_keys().await;
+    let smuggled = models_request(&format!("authorization: Bearer {OTHER_KEY}\r\n"));
+    let text = format!("{}{smuggled}", chat_request(headers));
     let mut stream = TcpStream::connect(testbed.nodes[0].callers()).await.expect("a connection");
     stream.write_all(text.as_bytes()).await.expect("a sent request");
     let mut answers = Vec::new();
-    let read = timeout(WAIT, stream.read_to_end(&mut answers)).await;
+    let read = timeout(TIMEOUT, stream.read_to_end(&mut answers)).await;
     let answers = String::from_utf8_lossy(&answers).into_owned();
     assert!(read.is_ok(), "the connection stays open: {answers}");
     assert_eq!(answers.matches("HTTP/1.1 ").count(), 1, "{answers}");
@@ -133,8 +133,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn well_formed_chunks() {
-    let testbed = with_keys().await;
-    let answer = send(testbed.nodes[0].callers(), &chat("transfer-encoding: chunked\r\n")).await;
+    let testbed = start_with_keys().await;
+    let answer =
+        send(testbed.nodes[0].callers(), &chat_request("transfer-encoding: chunked\r\n")).await;
     assert_eq!(status_of(&answer), 200, "{answer}");
 }
 
@@ -143,21 +144,21 @@
 #[case::long_value(&format!("x-a: {}\r\n", "b".repeat(200_000)))]
 #[case::long_name(&format!("{}: b\r\n", "a".repeat(200_000)))]
 #[tokio::test(flavor = "multi_thread")]
-async fn floods(#[case] headers: &str) {
-    let testbed = with_keys().await;
-    let answer = send(testbed.nodes[0].callers(), &models(headers)).await;
+async fn oversized_headers(#[case] headers: &str) {
+    let testbed = start_with_keys().await;
+    let answer = send(testbed.nodes[0].callers(), &models_request(headers)).await;
     // The server may close before the whole flood was written, which the client may see as a reset.
     assert!(matches!(status_of(&answer), 431 | 400 | 0), "{answer}");
-    let honest = models(&format!("authorization: Bearer {KEY}\r\n"));
+    let honest = models_request(&format!("authorization: Bearer {KEY}\r\n"));
     let answer = send(testbed.nodes[0].callers(), &honest).await;
     assert_eq!(status_of(&answer), 200, "{answer}");
 }
 
-// A caller guesses or overhears the id of another team's request. It must not even learn that the
+// A caller guesses or obtains the id of another team's request. It must not find out that the
 // request exists.
 #[tokio::test(flavor = "multi_thread")]
 async fn other_teams_request() {
-    let testbed = with_keys().await;
+    let testbed = start_with_keys().await;
     let address = testbed.nodes[0].callers();
     let body = format!(r#"{{"model":"{MODEL}","messages":[{{"role":"user","content":"x"}}]}}"#);
     let submit = format!(
@@ -185,8 +186,8 @@
     }
 }
 
-// The operators' and the nodes' port are apart from the callers': nothing of them is at the
-// callers' port, whatever the headers say.
+// Paths of the operators' port and of the port between nodes must not be served on the callers'
+// port, whatever the headers.
 #[rstest]
 #[case("/status")]
 #[case("/metrics")]
@@ -194,8 +195,8 @@
 #[case("/hello")]
 #[case("/v1/../status")]
 #[tokio::test(flavor = "multi_thread")]
-async fn ports_apart(#[case] path: &str) {
-    let testbed = with_keys().await;
+async fn other_ports_paths_are_not_found(#[case] path: &str) {
+    let testbed = start_with_keys().await;
     for method in ["GET", "POST"] {
         let ask = format!(
             "{method} {path} HTTP/1.1\r\nhost: entry\r\nx-forwarded-for: 127.0.0.1\r\n\
--- a/crates/daemon/tests/refused_requests.rs
+++ b/crates/daemon/tests/refused_requests.rs
@@ -1,4 +1,4 @@
-//! A request that is refused as not run was not run, and its error says what is wrong.
+//! A request that is refused as not run has not run, and its error names the cause.
 
 use bulrushhall_bench::{Probe, Testbed, TestbedOptions};
 use bulrushhall_core::Ran;
@@ -13,14 +13,20 @@
     format!(r#"{{"model":"{model}","messages":{messages}{rest}}}"#)
 }
 
-// Each of these requests is wrong in one way. A caller that is told "not run" sends its request
-// again; had it run all the same, an order would be carried out twice.
+// Each request is invalid in one way. A caller that is told "not run" may send its request again;
+// if it had run after all, an order would be executed twice.
 #[rstest]
 #[case::not_json(Method::POST, CHAT, "{".to_owned(), 400, "malformed_json")]
 #[case::not_an_object(Method::POST, CHAT, "[]".to_owned(), 400, "malformed_json")]
 #[case::no_model(Method::POST, CHAT, r#"{"messages":[]}"#.to_owned(), 400, "malformed_json")]
 #[case::unknown_model(Method::POST, CHAT, chat_body("other", MESSAGES, ""), 404, "model_not_found")]
-#[case::odd_model(Method::POST, CHAT, chat_body("a b/c", MESSAGES, ""), 404, "model_not_found")]
+#[case::malformed_model(
+    Method::POST,
+    CHAT,
+    chat_body("a b/c", MESSAGES, ""),
+    404,
+    "model_not_found"
+)]
 #[case::no_messages(Method::POST, CHAT, chat_body("motif-7b", "[]", ""), 400, "invalid_value")]
 #[case::no_tokens(
     Method::POST,
@@ -75,7 +81,7 @@
 #[case::unknown_class("x-request-class", "other", 400, "unknown_class")]
 #[case::unknown_team("x-team", "other", 401, "unknown_key")]
 #[tokio::test(flavor = "multi_thread")]
-async fn odd_header(
+async fn unknown_header_value(
     #[case] name: &str,
     #[case] value: &str,
     #[case] status: u16,
