--- a/crates/daemon/tests/any_node.rs
+++ b/crates/daemon/tests/request_failover.rs
@@ -1,4 +1,5 @@
-//! Accepted requests outlive the node that accepted them, and any node answers for them.
+//! Accepted requests survive the loss of the node that accepted them, and can be read from any
+//! node.
 
 use std::time::{Duration, Instant};
 
@@ -8,22 +9,22 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn five_nodes() -> Testbed {
+async fn start_five_nodes() -> Testbed {
     let options = TestbedOptions { nodes: 5, engines: 4, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("a testbed");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     for node in &testbed.nodes {
         while node.context().members.current().len() < 4 {
-            assert!(Instant::now() < until, "the nodes did not find each other");
+            assert!(Instant::now() < until, "the nodes did not discover each other");
             sleep(Duration::from_millis(10)).await;
         }
     }
     testbed
 }
 
-fn body(prompt: &str, tokens: u32) -> Value {
+fn chat_body(prompt: &str, tokens: u32) -> Value {
     json!({
         "model": MODEL,
         "messages": [{ "role": "user", "content": prompt }],
@@ -32,92 +33,94 @@
 }
 
 async fn submit(caller: &Caller, prompt: &str, tokens: u32) -> String {
-    let body = body(prompt, tokens);
+    let body = chat_body(prompt, tokens);
     let answer = caller.json(Method::POST, "/v1/requests", &[], &body).await.expect("an id");
     answer["id"].as_str().expect("an id").to_owned()
 }
 
-async fn wait_for(caller: &Caller, id: &str, done: impl Fn(&Value) -> bool) -> Value {
-    let until = Instant::now() + PATIENCE;
+async fn wait_for(caller: &Caller, id: &str, condition: impl Fn(&Value) -> bool) -> Value {
+    let until = Instant::now() + WAIT_TIMEOUT;
     let mut last = None;
     while Instant::now() < until {
-        let shown =
+        let response =
             caller.json(Method::GET, &format!("/v1/requests/{id}"), &[], &Value::Null).await;
-        match shown {
-            Ok(shown) if done(&shown) => return shown,
+        match response {
+            Ok(response) if condition(&response) => return response,
             other => last = Some(other),
         }
         sleep(Duration::from_millis(20)).await;
     }
-    panic!("not reached in time: {last:?}");
+    panic!("the state was not reached in time: {last:?}");
 }
 
-fn text(shown: &Value) -> &str {
-    shown["completion"]["choices"][0]["message"]["content"].as_str().expect("a text")
+fn answer_text(response: &Value) -> &str {
+    response["completion"]["choices"][0]["message"]["content"].as_str().expect("a text")
 }
 
-// A craftsman submits a survey at one node and asks for it at another, since callers keep
-// addresses for a while and use whichever answers.
+// A caller submits a request at one node and reads its answer at another, since callers cache
+// addresses and use whichever responds.
 #[tokio::test(flavor = "multi_thread")]
-async fn any_node_answers() {
-    let testbed = five_nodes().await;
+async fn any_node_returns_answer() {
+    let testbed = start_five_nodes().await;
     let id = submit(&testbed.caller(0), "a survey", 24).await;
     for at in 1..5 {
-        let shown = wait_for(&testbed.caller(at), &id, |it| it["status"] == "finished").await;
-        assert_eq!(text(&shown), expected_answer("user: a survey\n", 24));
+        let response = wait_for(&testbed.caller(at), &id, |it| it["status"] == "finished").await;
+        assert_eq!(answer_text(&response), expected_answer("user: a survey\n", 24));
     }
 }
 
-// Another team guesses or learns the id of a request. It must be told the same as for an id that
-// does not exist, at the owner and at every other node.
+// Another team guesses or obtains the id of a request. It must get the same error as for an id that
+// does not exist, from the owner and from every other node.
 #[tokio::test(flavor = "multi_thread")]
-async fn others_see_nothing() {
-    let testbed = five_nodes().await;
+async fn other_team_gets_not_found() {
+    let testbed = start_five_nodes().await;
     let id = submit(&testbed.caller(0), "a survey", 24).await;
     for node in &testbed.nodes {
         let other = Caller::new(node.callers(), "archive");
         let path = format!("/v1/requests/{id}");
-        let shown = other.json(Method::GET, &path, &[], &Value::Null).await;
-        let Err(CallerError::Refused { code, .. }) = shown else { panic!("shown: {shown:?}") };
+        let response = other.json(Method::GET, &path, &[], &Value::Null).await;
+        let Err(CallerError::Refused { code, .. }) = response else {
+            panic!("response: {response:?}")
+        };
         assert_eq!(code, "request_not_found");
     }
 }
 
-// The VM of the node that accepted the request dies without any notice while the answer is being
-// written. The craftsman sees the stream break, asks another node and gets the whole answer.
+// The node that accepted a request dies without notice while the answer is being generated. Another
+// node must return the complete answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn owner_dies() {
-    let testbed = five_nodes().await;
+async fn answer_survives_owner_death() {
+    let testbed = start_five_nodes().await;
     let id = submit(&testbed.caller(0), "a long survey", 200).await;
     wait_for(&testbed.caller(0), &id, |it| 20 < it["tokens"].as_u64().unwrap_or(0)).await;
     testbed.nodes[0].kill();
-    let shown = wait_for(&testbed.caller(1), &id, |it| it["status"] == "finished").await;
-    assert_eq!(text(&shown), expected_answer("user: a long survey\n", 200));
+    let response = wait_for(&testbed.caller(1), &id, |it| it["status"] == "finished").await;
+    assert_eq!(answer_text(&response), expected_answer("user: a long survey\n", 200));
 }
 
-// An editor cancels an appeal reread at a node that does not own it. Engines would go on writing
-// an answer that nobody wants if the cancel stopped at that node.
+// A request is cancelled at a node that does not own it. If the cancellation did not reach the
+// owner, engines would keep generating an answer that nobody reads.
 #[tokio::test(flavor = "multi_thread")]
-async fn cancel_elsewhere() {
-    let testbed = five_nodes().await;
+async fn cancel_at_other_node() {
+    let testbed = start_five_nodes().await;
     let id = submit(&testbed.caller(0), "unwanted", 4_000).await;
     wait_for(&testbed.caller(0), &id, |it| it["status"] == "running").await;
     let path = format!("/v1/requests/{id}");
     let cancelled = testbed.caller(3).json(Method::DELETE, &path, &[], &Value::Null).await;
     assert_eq!(cancelled.expect("an answer")["status"], "failed");
-    let shown = wait_for(&testbed.caller(0), &id, |it| it["status"] == "failed").await;
-    assert_eq!(shown["error"]["code"], "cancelled");
+    let response = wait_for(&testbed.caller(0), &id, |it| it["status"] == "failed").await;
+    assert_eq!(response["error"]["code"], "cancelled");
     let computed = || testbed.engines.iter().map(|it| it.counts().computed_tokens).sum::<u64>();
     sleep(Duration::from_millis(200)).await;
     let before = computed();
     sleep(Duration::from_millis(200)).await;
-    assert_eq!(computed(), before, "an engine still writes");
+    assert_eq!(computed(), before, "an engine is still generating");
 }
 
-// The operator stops a node on which requests wait and run. Whoever asks for them afterwards at
-// another node gets them whole.
+// A node is stopped while it has queued and running requests. Another node must return their
+// complete answers.
 #[tokio::test(flavor = "multi_thread")]
-async fn planned_stop() {
+async fn planned_stop_hands_over() {
     let mut options = TestbedOptions { nodes: 5, engines: 4, ..TestbedOptions::default() };
     options.settings.limits.drain = Duration::from_secs(2).into();
     options.settings.limits.answers_per_engine = 1;
@@ -129,27 +132,26 @@
     }
     testbed.nodes[0].stop().await;
     for (number, id) in ids.iter().enumerate() {
-        let shown = wait_for(&testbed.caller(1), id, |it| it["status"] == "finished").await;
+        let response = wait_for(&testbed.caller(1), id, |it| it["status"] == "finished").await;
         let expected = expected_answer(&format!("user: survey {number}\n"), 300);
-        assert_eq!(text(&shown), expected, "{id}");
+        assert_eq!(answer_text(&response), expected, "{id}");
     }
 }
 
-// Only one node is there. The request is accepted, but nobody else has it, and the caller can see
-// that in the answer to its submission.
+// With a single node, a request is accepted without a copy; its state must show that.
 #[tokio::test(flavor = "multi_thread")]
-async fn alone_is_visible() {
+async fn single_node_reports_no_copy() {
     let testbed = Testbed::start(TestbedOptions::default()).await.expect("a testbed");
     let id = submit(&testbed.caller(0), "alone", 8).await;
-    let shown = wait_for(&testbed.caller(0), &id, |it| it["status"] == "finished").await;
-    assert_eq!(shown["copies"], 0);
+    let response = wait_for(&testbed.caller(0), &id, |it| it["status"] == "finished").await;
+    assert_eq!(response["copies"], 0);
 }
 
-// All nodes are restarted one after the other while callers read streams. None of them may be
-// cut: a stream ends whole, or names the address where it goes on.
+// Nodes are stopped one after the other while callers read streams. No stream may be cut: each
+// ends complete, or names the address of the node that continues it.
 #[tokio::test(flavor = "multi_thread")]
-async fn rolling_stop() {
-    let testbed = five_nodes().await;
+async fn rolling_stop_keeps_streams() {
+    let testbed = start_five_nodes().await;
     let mut streams = tokio::task::JoinSet::new();
     for number in 0..8 {
         let caller = testbed.caller(number % 2);
@@ -166,11 +168,10 @@
     }
 }
 
-// The VM of an engine is taken back with a few seconds' notice while a long survey runs on it. The
-// engine dies at the end of the notice; the craftsman gets the whole text, and little is computed
-// a second time because the KV cache went along.
+// The VM of an engine is reclaimed with a few seconds' notice while a long answer runs on it. The
+// answer must be completed, with few recomputed tokens because its KV cache is moved.
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_reclaimed() {
+async fn reclaimed_engine_moves_cache() {
     let options = TestbedOptions { nodes: 2, engines: 4, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("a testbed");
     sleep(Duration::from_millis(600)).await;
@@ -180,8 +181,8 @@
     let at = testbed.engines.iter().position(|engine| 0 < engine.counts().generates);
     let vm = testbed.engines[at.expect("an engine that runs it")].vm().clone();
     testbed.cloud.reclaim(&vm, Duration::from_secs(5));
-    let shown = wait_for(&testbed.caller(1), &id, |it| it["status"] == "finished").await;
-    assert_eq!(text(&shown), expected_answer(&format!("user: {prompt}\n"), 500));
+    let response = wait_for(&testbed.caller(1), &id, |it| it["status"] == "finished").await;
+    assert_eq!(answer_text(&response), expected_answer(&format!("user: {prompt}\n"), 500));
     let counts: Vec<_> = testbed.engines.iter().map(|engine| engine.counts()).collect();
     let moved: u64 = counts.iter().map(|it| it.exported_bytes).sum();
     let recomputed: u64 = counts.iter().map(|it| it.recomputed_tokens).sum();
--- a/crates/daemon/tests/counted_requests.rs
+++ b/crates/daemon/tests/request_metrics.rs
@@ -1,4 +1,4 @@
-//! What monitoring reads after requests were answered, refused and abandoned.
+//! The metrics of requests that were answered, refused or abandoned.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,19 +15,19 @@
     time::{sleep, timeout},
 };
 
-const LIMIT: usize = 4 << 20;
-const WAIT: Duration = Duration::from_secs(5);
+const MAX_BODY_BYTES: usize = 4 << 20;
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-async fn metrics(operators: SocketAddr) -> String {
+async fn read_metrics(operators: SocketAddr) -> String {
     let req = Request::get("/metrics").body(Full::new(Bytes::new())).expect("a request");
     let endpoint = Endpoint::new(operators, EndpointOptions::default());
     let answer = endpoint.send(req).await.expect("an answer");
-    let body = read_limited(answer.into_body(), LIMIT, WAIT).await.expect("a body");
+    let body = read_limited(answer.into_body(), MAX_BODY_BYTES, TIMEOUT).await.expect("a body");
     String::from_utf8(body.to_vec()).expect("text")
 }
 
-// The sum of a metric's series that have all the given labels.
-fn value(text: &str, name: &str, labels: &[&str]) -> f64 {
+// Returns the sum of a metric's series that have all the given labels.
+fn metric_sum(text: &str, name: &str, labels: &[&str]) -> f64 {
     let mut sum = 0.0;
     for line in text.lines() {
         let Some((series, number)) = line.rsplit_once(' ') else { continue };
@@ -43,32 +43,36 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answered() {
+async fn answered_requests() {
     let options = TestbedOptions { nodes: 2, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("a testbed");
     for _ in 0..3 {
         let answered = testbed.caller(0).chat(MODEL, "urgent", "which glaze", 4).await;
         assert!(answered.expect("an answer").whole);
     }
-    let text = metrics(testbed.nodes[0].operators()).await;
+    let text = read_metrics(testbed.nodes[0].operators()).await;
     let own = ["team=\"workshop\"", "class=\"urgent\"", "node=\"entry-0\""];
     let answered = [&own[..], &["outcome=\"answered\""]].concat();
-    assert_eq!(value(&text, "bulrush_requests_total", &answered), 3.0, "{text}");
-    assert_eq!(value(&text, "bulrush_request_seconds_count", &own), 3.0);
-    assert_eq!(value(&text, "bulrush_first_byte_seconds_count", &own), 3.0);
-    assert_eq!(value(&text, "bulrush_requests_in_flight", &[]), 0.0);
-    assert!(0.0 < value(&text, "bulrush_key_value_calls_total", &["purpose=\"config\""]));
-    assert!(0.0 < value(&text, "bulrush_config_revision", &[]));
+    assert_eq!(metric_sum(&text, "bulrush_requests_total", &answered), 3.0, "{text}");
+    assert_eq!(metric_sum(&text, "bulrush_request_seconds_count", &own), 3.0);
+    assert_eq!(metric_sum(&text, "bulrush_first_byte_seconds_count", &own), 3.0);
+    assert_eq!(metric_sum(&text, "bulrush_requests_in_flight", &[]), 0.0);
+    assert!(0.0 < metric_sum(&text, "bulrush_key_value_calls_total", &["purpose=\"config\""]));
+    assert!(0.0 < metric_sum(&text, "bulrush_config_revision", &[]));
 
-    // Nodes of one process don't share what they count.
-    let other = metrics(testbed.nodes[1].operators()).await;
-    assert_eq!(value(&other, "bulrush_requests_total", &["outcome=\"answered\""]), 0.0, "{other}");
+    // Nodes of one process do not share their metrics.
+    let other = read_metrics(testbed.nodes[1].operators()).await;
+    assert_eq!(
+        metric_sum(&other, "bulrush_requests_total", &["outcome=\"answered\""]),
+        0.0,
+        "{other}"
+    );
 }
 
-// A caller sends a new made-up class and team with each request. Were they labels, the node's
-// memory and the monitoring's would grow until one of them fails.
+// A caller sends a different unknown class with each request. If such names became labels, the
+// memory of the node and of the monitoring system would grow without bound.
 #[tokio::test(flavor = "multi_thread")]
-async fn made_up_labels() {
+async fn unknown_names_are_no_labels() {
     let testbed = Testbed::start(TestbedOptions::default()).await.expect("a testbed");
     let body = json!({ "model": MODEL, "messages": [{ "role": "user", "content": "x" }] });
     for number in 0..50 {
@@ -78,16 +82,16 @@
         let refused = testbed.caller(0).json(Method::POST, path, &headers, &body).await;
         assert!(refused.is_err());
     }
-    let text = metrics(testbed.nodes[0].operators()).await;
+    let text = read_metrics(testbed.nodes[0].operators()).await;
     assert!(!text.contains("class-"), "{text}");
     let malformed = ["class=\"none\"", "outcome=\"malformed\""];
-    assert_eq!(value(&text, "bulrush_requests_total", &malformed), 50.0);
+    assert_eq!(metric_sum(&text, "bulrush_requests_total", &malformed), 50.0);
 }
 
-// A caller goes away in the middle of its answer. Counted as being answered for ever, it would hold
-// up an operator who waits for a drained node to be empty.
+// A caller disconnects in the middle of its answer. If the request remained counted as in flight, a
+// drained node would never appear to be idle.
 #[tokio::test(flavor = "multi_thread")]
-async fn abandoned() {
+async fn abandoned_request() {
     let testbed = Testbed::start(TestbedOptions::default()).await.expect("a testbed");
     let node = &testbed.nodes[0];
     let body = json!({
@@ -107,35 +111,35 @@
 
     let counted = async {
         loop {
-            let text = metrics(node.operators()).await;
-            if value(&text, "bulrush_requests_total", &["outcome=\"abandoned\""]) == 1.0 {
+            let text = read_metrics(node.operators()).await;
+            if metric_sum(&text, "bulrush_requests_total", &["outcome=\"abandoned\""]) == 1.0 {
                 return text;
             }
             sleep(Duration::from_millis(20)).await;
         }
     };
-    let text = timeout(WAIT, counted).await.expect("an end that is noticed");
-    assert_eq!(value(&text, "bulrush_requests_in_flight", &[]), 0.0, "{text}");
+    let text = timeout(TIMEOUT, counted).await.expect("the end of the request is counted");
+    assert_eq!(metric_sum(&text, "bulrush_requests_in_flight", &[]), 0.0, "{text}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn only_known_names() {
+async fn all_metrics_are_in_catalogue() {
     let testbed = Testbed::start(TestbedOptions::default()).await.expect("a testbed");
     let answered = testbed.caller(0).chat(MODEL, "urgent", "which glaze", 4).await;
     assert!(answered.expect("an answer").whole);
-    let text = metrics(testbed.nodes[0].operators()).await;
+    let text = read_metrics(testbed.nodes[0].operators()).await;
     let mut types = 0;
     for line in text.lines() {
         let Some(rest) = line.strip_prefix("# TYPE ") else { continue };
         let (name, kind) = rest.split_once(' ').expect("a name and its type");
         let metric = Metric::ALL.into_iter().find(|metric| metric.name() == name);
-        let kind_told = match metric.map(Metric::kind) {
+        let expected_kind = match metric.map(Metric::kind) {
             Some(Kind::Counter) => "counter",
             Some(Kind::Gauge) => "gauge",
             Some(Kind::Histogram) => "histogram",
             None => "not in the catalogue",
         };
-        assert_eq!(kind, kind_told, "{name}");
+        assert_eq!(kind, expected_kind, "{name}");
         types += 1;
     }
     assert!(8 < types, "{text}");
--- a/crates/daemon/tests/separate_processes.rs
+++ b/crates/daemon/tests/separate_processes.rs
@@ -1,4 +1,4 @@
-//! A request is served from start to finish by daemons that run as processes of their own.
+//! Requests are served end to end by daemons that run as separate processes.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -43,7 +43,7 @@
     let out = child.stdout.take().expect("the daemon's output");
     let mut line = String::new();
     BufReader::new(out).read_line(&mut line).expect("a line");
-    let ready = line.strip_prefix("ready ").expect("a line that tells the ports");
+    let ready = line.strip_prefix("ready ").expect("a line that lists the ports");
     let ready: Value = serde_json::from_str(ready).expect("JSON");
     let callers = ready["callers"].as_str().expect("an address").parse().expect("an address");
     Daemon { child, callers }
@@ -58,11 +58,11 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("the daemon did not learn the configuration");
+    panic!("the daemon did not load the configuration");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_path() {
+async fn request_is_served_end_to_end() {
     let options = TestbedOptions { nodes: 0, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("stand-ins");
     let daemon = start_daemon(testbed.kv.address(), "entry-1");
@@ -82,10 +82,10 @@
     assert_eq!(testbed.ledger.counts().runs["k-1"], 1);
 }
 
-// The operator stops a daemon while a caller still reads its answer. A stop that cut the stream
-// would leave the caller with half an answer and no sign of its end.
+// A daemon is stopped while a caller reads an answer. If the stream were cut, the caller would have
+// a partial answer without an end.
 #[tokio::test(flavor = "multi_thread")]
-async fn graceful_stop() {
+async fn graceful_stop_completes_stream() {
     let options = TestbedOptions { nodes: 0, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("stand-ins");
     let mut daemon = start_daemon(testbed.kv.address(), "entry-2");
--- a/crates/daemon/tests/silent_connections.rs
+++ b/crates/daemon/tests/silent_connections.rs
@@ -1,4 +1,5 @@
-//! Connections that go silent for good are noticed and replaced, and nothing reaches a stranger.
+//! Connections that have gone silent are detected and replaced, and requests never reach another
+//! VM.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,9 +21,9 @@
 use futures_util::StreamExt;
 use hyper::{HeaderMap, Method};
 
-const PROGRESS: Duration = Duration::from_millis(400);
-/// How often a call is tried that has to go out on a kept connection.
-const TRIES: usize = 10;
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// The maximum number of attempts to get a call sent on a kept connection.
+const MAX_ATTEMPTS: usize = 10;
 
 fn vm(name: &str) -> VmName {
     VmName::new(name).expect("a name")
@@ -53,36 +54,36 @@
 }
 
 fn options(vm: Option<VmName>) -> EndpointOptions {
-    EndpointOptions { response_timeout: PROGRESS, vm, ..EndpointOptions::default() }
+    EndpointOptions { response_timeout: RESPONSE_TIMEOUT, vm, ..EndpointOptions::default() }
 }
 
-/// Which connection the call took that was meant for the silent one.
+/// The connection on which a call was sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionUsed {
     Kept,
     Another,
 }
 
-// A connection whose answer has just been read is not ready yet now and then on a busy machine, and the next
-// call opens another one. What is tested has not come about then.
-async fn until_kept(mut play: impl AsyncFnMut() -> ConnectionUsed) {
-    for _ in 0..TRIES {
-        if play().await == ConnectionUsed::Kept {
+// On a busy machine a connection is sometimes not ready for reuse right after its response has been
+// read, and the next call opens another one. The scenario then has to be repeated.
+async fn retry_until_kept(mut scenario: impl AsyncFnMut() -> ConnectionUsed) {
+    for _ in 0..MAX_ATTEMPTS {
+        if scenario().await == ConnectionUsed::Kept {
             return;
         }
     }
     panic!("no connection was kept");
 }
 
-// Something between a node and an engine loses track of their connection while an answer is being
-// written. Neither end is told; a caller would wait for ever for the next word.
+// A middlebox drops the state of the connection to an engine while an answer is being generated,
+// and neither end is notified. Without a timeout the caller would wait forever for the next token.
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_goes_silent() {
+async fn silent_engine_connection() {
     let server = EngineServer::start(vm("vm-1"), model(), EngineOptions::default());
     let server = server.await.expect("an engine");
     let link = Link::start(server.address()).await.expect("a link");
     let endpoint = Endpoint::new(link.address(), options(Some(vm("vm-1"))));
-    let engine = HttpEngine::new(endpoint, PROGRESS);
+    let engine = HttpEngine::new(endpoint, RESPONSE_TIMEOUT);
     let mut frames = engine.generate(generate(1)).await.expect("frames");
     assert!(matches!(frames.next().await, Some(Ok(Frame::Token(_)))));
     link.forget();
@@ -97,19 +98,19 @@
 }
 
 // The kept connection to a plain service has gone silent before an order is sent on it. The order
-// may have got through, so it ends as unknown, is not sent again, and the next one works.
+// may have arrived, so it must end as unknown and not be sent again; the next one must succeed.
 #[tokio::test(flavor = "multi_thread")]
-async fn order_on_silent_connection() {
-    until_kept(order_after_silence).await;
+async fn silent_service_connection() {
+    retry_until_kept(call_service_after_silence).await;
 }
 
-async fn order_after_silence() -> ConnectionUsed {
+async fn call_service_after_silence() -> ConnectionUsed {
     let ledger = Arc::new(Ledger::default());
     let server = ServiceServer::start(vm("vm-1"), Arc::clone(&ledger), ServiceOptions::default());
     let server = server.await.expect("a service");
     let link = Link::start(server.address()).await.expect("a link");
     let endpoint = Endpoint::new(link.address(), options(Some(vm("vm-1"))));
-    let service = HttpService::new(endpoint, PROGRESS);
+    let service = HttpService::new(endpoint, RESPONSE_TIMEOUT);
     service.call(order("k-1")).await.expect("an answer");
     link.forget();
     let called = service.call(order("k-2")).await;
@@ -124,14 +125,14 @@
     ConnectionUsed::Kept
 }
 
-// The connection to the key-value service has gone silent. The call ends as unknown and the next
-// one works; waiting for the old connection would stop every claim.
+// The connection to the key-value service has gone silent. The call must time out and the next one
+// succeed; waiting for the old connection would block all claims.
 #[tokio::test(flavor = "multi_thread")]
-async fn platform_goes_silent() {
-    until_kept(read_after_silence).await;
+async fn silent_key_value_connection() {
+    retry_until_kept(call_key_value_after_silence).await;
 }
 
-async fn read_after_silence() -> ConnectionUsed {
+async fn call_key_value_after_silence() -> ConnectionUsed {
     let server = KvServer::start(KvOptions::default()).await.expect("a service");
     let link = Link::start(server.address()).await.expect("a link");
     let key_value = HttpKeyValue::new(Endpoint::new(link.address(), options(None)));
@@ -147,14 +148,15 @@
     ConnectionUsed::Kept
 }
 
-// An engine's VM is replaced and the new VM gets its address. It must not be given the old VM's
-// requests: it would write an answer that its caller is shown as another's.
+// The VM of an engine is replaced by one with the same address. The new VM must refuse requests for
+// the old one, since a caller would receive the answer of the wrong engine.
 #[tokio::test(flavor = "multi_thread")]
-async fn reused_address() {
+async fn address_reused_by_other_vm() {
     let old = EngineServer::start(vm("vm-1"), model(), EngineOptions::default());
     let old = old.await.expect("an engine");
     let address = old.address();
-    let engine = HttpEngine::new(Endpoint::new(address, options(Some(vm("vm-1")))), PROGRESS);
+    let engine =
+        HttpEngine::new(Endpoint::new(address, options(Some(vm("vm-1")))), RESPONSE_TIMEOUT);
     let mut frames = engine.generate(generate(1)).await.expect("frames");
     assert!(matches!(frames.next().await, Some(Ok(Frame::Token(_)))));
     drop(frames);
--- a/crates/daemon/tests/team_limits.rs
+++ b/crates/daemon/tests/team_limits.rs
@@ -1,4 +1,4 @@
-//! A team over its limits is refused and told when to come back; other teams are served.
+//! A team over its limits is refused with a retry time; other teams are still served.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 use serde_json::{Value, json};
 use tokio::time::{sleep, timeout};
 
-const WAIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-async fn with_limit(line: &str) -> Testbed {
+async fn start_with_limit(line: &str) -> Testbed {
     let testbed = Testbed::start(TestbedOptions::default()).await.expect("a testbed");
     let text = testbed.config.replace("[team archive]\n", &format!("[team archive]\n{line}\n"));
     assert_ne!(text, testbed.config);
@@ -28,28 +28,28 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(WAIT, in_force).await.expect("the configuration in force");
+    timeout(TIMEOUT, in_force).await.expect("the configuration in force");
     testbed
 }
 
-fn work(tokens: u32) -> Value {
+fn chat_body(tokens: u32) -> Value {
     let messages = json!([{ "role": "user", "content": "a survey" }]);
     json!({ "model": MODEL, "messages": messages, "max_tokens": tokens })
 }
 
 async fn submit(caller: &Caller, tokens: u32) -> Result<Value, bulrushhall_bench::CallerError> {
-    caller.json(Method::POST, "/v1/requests", &[], &work(tokens)).await
+    caller.json(Method::POST, "/v1/requests", &[], &chat_body(tokens)).await
 }
 
-// A program of the archive's team loops. Without its own limit it would take the places of all
-// others, and its answers would come late for everyone.
+// One team sends requests in a loop. Without a limit of its own it would use up the capacity, and
+// the answers of all other teams would be late.
 #[rstest]
 #[case::at_once("at_once = 1", 200)]
 #[case::requests("requests = 6/min", 4)]
 #[case::tokens("tokens = 60/min", 100)]
 #[tokio::test(flavor = "multi_thread")]
-async fn looping_team(#[case] line: &str, #[case] tokens: u32) {
-    let testbed = with_limit(line).await;
+async fn team_over_limit_is_refused(#[case] line: &str, #[case] tokens: u32) {
+    let testbed = start_with_limit(line).await;
     let address = testbed.nodes[0].callers();
     let (archive, workshop) = (Caller::new(address, "archive"), Caller::new(address, "workshop"));
     assert!(submit(&archive, tokens).await.is_ok());
@@ -66,8 +66,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn place_given_back() {
-    let testbed = with_limit("at_once = 1").await;
+async fn ended_request_frees_slot() {
+    let testbed = start_with_limit("at_once = 1").await;
     let archive = Caller::new(testbed.nodes[0].callers(), "archive");
     for _ in 0..5 {
         let again = async {
@@ -75,6 +75,6 @@
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(WAIT, again).await.expect("a place after the last request has ended");
+        timeout(TIMEOUT, again).await.expect("a free slot after the last request has ended");
     }
 }
