--- a/crates/daemon/src/callers/limit.rs
+++ b/crates/daemon/src/callers/limit.rs
@@ -59,10 +59,10 @@
 }
 
 fn limit_error(exceeded: LimitExceeded) -> ApiError {
-    let what = match exceeded.limit {
+    let message = match exceeded.limit {
         TeamLimit::Concurrency => "the team has too many concurrent requests",
         TeamLimit::Requests => "the team is over its request rate limit",
         TeamLimit::Tokens => "the team is over its token rate limit",
     };
-    ApiError::not_run(ApiCode::TeamLimit, what).retry_after(exceeded.retry_after)
+    ApiError::not_run(ApiCode::TeamLimit, message).retry_after(exceeded.retry_after)
 }
--- a/crates/daemon/src/callers/respond.rs
+++ b/crates/daemon/src/callers/respond.rs
@@ -9,7 +9,7 @@
 
 use crate::callers::{ApiCode, ApiError};
 
-/// Returns a JSON response.
+/// Returns a value as a JSON response.
 pub fn json(value: &impl Serialize) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(bytes) => json_bytes(bytes),
--- a/crates/daemon/src/handoff/abandon.rs
+++ b/crates/daemon/src/handoff/abandon.rs
@@ -5,7 +5,7 @@
 use bulrushhall_core::RequestId;
 use tokio::time::{Instant, sleep};
 
-use crate::{context::Context, handoff::find::cancel_here};
+use crate::{context::Context, handoff::find::cancel_if_owned};
 
 /// The pause between two checks.
 const CHECK_PAUSE: Duration = Duration::from_millis(500);
@@ -26,7 +26,7 @@
             }
             let since = unread.get(&answer.id()).copied().unwrap_or_else(Instant::now);
             if ABANDON_TIMEOUT <= since.elapsed() {
-                cancel_here(&cx, &answer).await;
+                cancel_if_owned(&cx, &answer).await;
                 continue;
             }
             still_unread.insert(answer.id(), since);
--- a/crates/daemon/src/handoff/find.rs
+++ b/crates/daemon/src/handoff/find.rs
@@ -19,7 +19,7 @@
 
 /// How long to search for a request whose owner is dead and whose copy holder has not taken over
 /// yet.
-const FIND_WAIT: Duration = Duration::from_secs(6);
+const FIND_TIMEOUT: Duration = Duration::from_secs(6);
 /// The number of query rounds after which a request that no node knows is reported as not found.
 const MAX_UNKNOWN_ROUNDS: u32 = 2;
 /// The pause between two query rounds.
@@ -57,7 +57,7 @@
 
 /// Cancels a team's request, whichever node owns it; returns whether it was found.
 pub async fn cancel(cx: &Arc<Context>, answer: &Arc<Answer>) -> bool {
-    if cancel_here(cx, answer).await {
+    if cancel_if_owned(cx, answer).await {
         return true;
     }
     let (team, id) = (answer.team().clone(), answer.id());
@@ -67,7 +67,7 @@
 }
 
 /// Cancels a request if this node owns it; returns whether it does.
-pub(super) async fn cancel_here(cx: &Context, answer: &Answer) -> bool {
+pub(super) async fn cancel_if_owned(cx: &Context, answer: &Answer) -> bool {
     let error = ApiError::not_run(ApiCode::Cancelled, "the caller cancelled the request");
     let end = AnswerEnd::Failed(error.ran(answer.ran()));
     let ended = cx.ownership.send(Ended { id: answer.id(), end }).await.unwrap_or(false);
@@ -80,7 +80,7 @@
 /// Copies an answer from its owner until it ends or has no more readers at this node.
 pub async fn follow(cx: Arc<Context>, answer: Weak<Answer>) {
     loop {
-        let Some((team, id, seen)) = reader_state(&answer) else { return };
+        let Some((team, id, seen)) = open_answer_state(&answer) else { return };
         let Some(Found { node, reply }) = locate(&cx, &team, id, seen).await else {
             let Some(answer) = answer.upgrade() else { return };
             let message = "no node has the request any more";
@@ -91,7 +91,7 @@
         if apply_reply(&cx, &answer, seen, reply) == FollowState::Ended {
             return;
         }
-        while let Some((team, id, seen)) = reader_state(&answer) {
+        while let Some((team, id, seen)) = open_answer_state(&answer) {
             let read = Read { team, id, seen, mode: ReadMode::Wait };
             let Ok(reply) = cx.peers.send(&cx, node.peers, Some(node.incarnation), read).await
             else {
@@ -114,7 +114,9 @@
     Ended,
 }
 
-fn reader_state(answer: &Weak<Answer>) -> Option<(TeamName, RequestId, Option<TokenPosition>)> {
+fn open_answer_state(
+    answer: &Weak<Answer>,
+) -> Option<(TeamName, RequestId, Option<TokenPosition>)> {
     let answer = answer.upgrade()?;
     if answer.ended().is_some() {
         return None;
@@ -165,15 +167,15 @@
     id: RequestId,
     seen: Option<TokenPosition>,
 ) -> Option<Found> {
-    let until = Instant::now() + FIND_WAIT;
+    let until = Instant::now() + FIND_TIMEOUT;
     let mut rounds = 0;
     let role = || cx.ownership.send(GetRequestRole { team: team.clone(), id });
     while Instant::now() < until {
-        let mut hint = id.origin;
+        let mut likely_owner = id.origin;
         if let Ok(RequestRole::MovedTo(to)) = role().await {
-            hint = to;
+            likely_owner = to;
         }
-        let (found, copy_exists) = query_round(cx, team, id, seen, hint).await;
+        let (found, copy_exists) = query_round(cx, team, id, seen, likely_owner).await;
         if found.is_some() {
             return found;
         }
@@ -192,13 +194,15 @@
     team: &TeamName,
     id: RequestId,
     seen: Option<TokenPosition>,
-    mut hint: Incarnation,
+    mut likely_owner: Incarnation,
 ) -> (Option<Found>, bool) {
     let read = Read { team: team.clone(), id, seen, mode: ReadMode::Look };
     for _ in 0..MAX_FORWARDS {
-        let Some(node) = cx.members.find(hint) else { break };
+        let Some(node) = cx.members.find(likely_owner) else { break };
         match read_from_node(cx, node, read.clone()).await {
-            Some(Found { reply: ReadReply::MovedTo(to), .. }) if to != hint => hint = to,
+            Some(Found { reply: ReadReply::MovedTo(to), .. }) if to != likely_owner => {
+                likely_owner = to
+            }
             Some(found) if is_answer(&found.reply) => return (Some(found), true),
             _ => break,
         }
--- a/crates/daemon/src/handoff/messages.rs
+++ b/crates/daemon/src/handoff/messages.rs
@@ -104,7 +104,7 @@
     port.register(|cx: Arc<Context>, _from, read: Read| async move { reply(&cx, read).await });
     port.register(|cx: Arc<Context>, _from, cancel: Cancel| async move {
         let Some(answer) = cx.answers.get(cancel.id) else { return false };
-        *answer.team() == cancel.team && find::cancel_here(&cx, &answer).await
+        *answer.team() == cancel.team && find::cancel_if_owned(&cx, &answer).await
     });
 }
 
--- a/crates/daemon/src/handoff/ownership_actor.rs
+++ b/crates/daemon/src/handoff/ownership_actor.rs
@@ -33,7 +33,7 @@
     addresses: HashMap<Incarnation, SocketAddr>,
 }
 
-/// An `Accept` asks for a new request to be owned and copied.
+/// An `Accept` makes this node the owner of a new request and has it copied to a peer.
 pub struct Accept {
     /// The request.
     pub id: RequestId,
@@ -128,7 +128,7 @@
                     let _ = tx.send(copied);
                 }
                 Action::Start { id, version, body, tokens } => {
-                    self.start(id, version, &body, tokens);
+                    self.start_run(id, version, &body, tokens);
                 }
                 Action::Stop(id) => {
                     let Some(answer) = self.cx.answers.get(id) else { continue };
@@ -180,7 +180,7 @@
         });
     }
 
-    fn start(&self, id: RequestId, version: Version, body: &[u8], tokens: Vec<String>) {
+    fn start_run(&self, id: RequestId, version: Version, body: &[u8], tokens: Vec<String>) {
         // A body that cannot be decoded was encoded by another version of the daemon.
         let Ok(portable) = Portable::decode(body) else {
             tracing::error!(event = Event::HandoffFailed.number(), request = %id);
--- a/crates/daemon/src/keyed/claimer.rs
+++ b/crates/daemon/src/keyed/claimer.rs
@@ -40,7 +40,7 @@
     /// The key.
     pub key: KeyHash,
     /// The node incarnation that becomes its home if it has none.
-    pub wanted: Incarnation,
+    pub proposed_home: Incarnation,
     /// Receives the home.
     pub home: oneshot::Sender<BindResult>,
 }
@@ -111,7 +111,8 @@
             return;
         }
         self.waiting.entry(bind.key).or_default().push(bind.home);
-        let actions = self.machine.bind(self.clock.now(), wall_clock_ms(), bind.key, bind.wanted);
+        let actions =
+            self.machine.bind(self.clock.now(), wall_clock_ms(), bind.key, bind.proposed_home);
         self.carry_out(actions, cx);
     }
 }
--- a/crates/daemon/src/keyed/home.rs
+++ b/crates/daemon/src/keyed/home.rs
@@ -102,7 +102,7 @@
     }
     let bound = match bound.flatten() {
         Some(home) => Some(Ok(home)),
-        None => claim_here(cx, key, cx.incarnation).await,
+        None => claim_locally(cx, key, cx.incarnation).await,
     };
     // An earlier attempt with this key may have run at another node, so this node cannot report
     // that the call was not run.
@@ -121,13 +121,13 @@
 }
 
 /// Claims a key for `home` at this node and returns the home of the key.
-pub(super) async fn claim_here(
+pub(super) async fn claim_locally(
     cx: &Context,
     key: KeyHash,
     home: Incarnation,
 ) -> Option<Result<Incarnation, ClaimRefusal>> {
     let (tx, bound) = oneshot::channel();
-    cx.claimer.send(Bind { key, wanted: home, home: tx }).await.ok()?;
+    cx.claimer.send(Bind { key, proposed_home: home, home: tx }).await.ok()?;
     bound.await.ok()
 }
 
--- a/crates/daemon/src/keyed/messages.rs
+++ b/crates/daemon/src/keyed/messages.rs
@@ -74,6 +74,6 @@
         home::handle_forwarded(&cx, call).await
     });
     port.register(|cx: Arc<Context>, _from, claim: ClaimKey| async move {
-        home::claim_here(&cx, KeyHash(claim.key), claim.home).await?.ok()
+        home::claim_locally(&cx, KeyHash(claim.key), claim.home).await?.ok()
     });
 }
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -77,8 +77,8 @@
     assert_eq!((run_count(&testbed, "k-1"), run_count(&testbed, "k-2")), (1, 1));
 }
 
-// A caller sends the same key to all nodes concurrently. The order must run once, and all calls
-// must succeed.
+// A caller retries an order at all nodes concurrently. The order must run once, and all calls must
+// succeed.
 #[tokio::test(flavor = "multi_thread")]
 async fn concurrent_retries() {
     let testbed = Arc::new(start_nodes(4).await);
--- a/crates/daemon/tests/hostile_headers.rs
+++ b/crates/daemon/tests/hostile_headers.rs
@@ -176,11 +176,11 @@
             if method == "DELETE" && key == KEY {
                 continue;
             }
-            let ask = format!(
+            let request = format!(
                 "{method} /v1/requests/{id}{path} HTTP/1.1\r\nhost: entry\r\n\
                  authorization: Bearer {key}\r\n\r\n"
             );
-            let answer = send(address, &ask).await;
+            let answer = send(address, &request).await;
             assert_eq!(status_of(&answer), status, "{method} {path} {key}: {answer}");
         }
     }
@@ -198,11 +198,11 @@
 async fn other_ports_paths_are_not_found(#[case] path: &str) {
     let testbed = start_with_keys().await;
     for method in ["GET", "POST"] {
-        let ask = format!(
+        let request = format!(
             "{method} {path} HTTP/1.1\r\nhost: entry\r\nx-forwarded-for: 127.0.0.1\r\n\
              x-original-url: {path}\r\nauthorization: Bearer {KEY}\r\ncontent-length: 0\r\n\r\n"
         );
-        let answer = send(testbed.nodes[0].callers(), &ask).await;
+        let answer = send(testbed.nodes[0].callers(), &request).await;
         assert_eq!(status_of(&answer), 404, "{answer}");
     }
     assert!(!testbed.nodes[0].context().is_leaving());
--- a/crates/daemon/tests/silent_connections.rs
+++ b/crates/daemon/tests/silent_connections.rs
@@ -57,7 +57,7 @@
     EndpointOptions { response_timeout: RESPONSE_TIMEOUT, vm, ..EndpointOptions::default() }
 }
 
-/// The connection on which a call was sent.
+/// The connection on which a call was sent; the kept one has gone silent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionUsed {
     Kept,
