--- a/crates/daemon/src/callers/relay.rs
+++ b/crates/daemon/src/callers/relay.rs
@@ -32,7 +32,7 @@
 /// The pause before the next attempt when no engine takes work or an attempt has just failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// The attempt numbers that are reserved for one epoch of ownership, so that those of a later owner
-/// are always higher.
+/// are higher.
 const ATTEMPTS_PER_EPOCH: u32 = 1_000;
 
 /// A `Run` is an owned request that is to be run to completion.
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -124,7 +124,7 @@
 }
 
 // The key-value service is down. Orders with a ticket must still run; an order without a ticket is
-// refused and must not run.
+// refused with a retry time and must not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn outage() {
     let testbed = start_nodes(2).await;
