--- a/crates/daemon/src/handoff/keeper.rs
+++ b/crates/daemon/src/handoff/ownership_actor.rs
@@ -1,4 +1,4 @@
-//! The actor that feeds the ownership machine and carries out what it decides.
+//! The actor that runs the ownership state machine and carries out its actions.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,35 +25,35 @@
     members::Member,
 };
 
-/// A `Keeper` knows which requests this node owns and which copies it holds.
-pub struct Keeper {
+/// An `OwnershipActor` tracks the requests that this node owns and the copies that it holds.
+pub struct OwnershipActor {
     cx: Arc<Context>,
     machine: Ownership,
-    waiting: HashMap<RequestId, oneshot::Sender<CopyLocation>>,
+    waiting_for_copy: HashMap<RequestId, oneshot::Sender<CopyLocation>>,
     addresses: HashMap<Incarnation, SocketAddr>,
 }
 
-/// An `Accept` asks for a new request to be owned and copied.
+/// An `Accept` makes this node the owner of a new request and has it copied to a peer.
 pub struct Accept {
     /// The request.
     pub id: RequestId,
-    /// What it asks for, encoded.
+    /// The encoded request.
     pub body: Bytes,
-    /// Gets where the copy is once it is there.
+    /// Receives the location of the copy once there is one, or that there is none.
     pub copied: oneshot::Sender<CopyLocation>,
 }
 
-/// `Produced` are new tokens of an owned request.
+/// A `Produced` is a new token of an owned request.
 pub struct Produced {
     /// The request.
     pub id: RequestId,
-    /// The version under which it is run.
+    /// The version under which the request is run.
     pub version: Version,
     /// The token.
     pub token: String,
 }
 
-/// An `Ended` tells how the answer to an owned request ended.
+/// An `Ended` reports how the answer to an owned request ended.
 pub struct Ended {
     /// The request.
     pub id: RequestId,
@@ -61,7 +61,7 @@
     pub end: AnswerEnd,
 }
 
-/// A `Receive` brings the messages of another node; what is returned goes back to it.
+/// A `Receive` delivers the messages of another node and returns the replies to it.
 pub struct Receive {
     /// The node.
     pub from: Incarnation,
@@ -69,53 +69,53 @@
     pub messages: Vec<Message>,
 }
 
-/// An `Undelivered` tells that messages to a node could not be delivered.
+/// An `Undelivered` reports that messages to a node could not be delivered.
 pub struct Undelivered {
     /// The node.
     pub to: Incarnation,
-    /// The requests that they were about.
+    /// The requests that the messages were about.
     pub ids: Vec<RequestId>,
 }
 
-/// A `SetMembers` tells which nodes are believed to be alive.
+/// A `SetMembers` sets the nodes that are considered alive.
 pub struct SetMembers(pub Arc<Vec<Member>>);
 
-/// A `HandOver` asks for requests to be offered to other nodes.
+/// A `HandOver` offers requests to other nodes.
 pub struct HandOver(pub Vec<RequestId>);
 
-/// A `StandingOf` asks what this node is to a team's request.
-pub struct StandingOf {
+/// A `GetRequestRole` asks for the role of this node for a team's request.
+pub struct GetRequestRole {
     /// The team that asks.
     pub team: TeamName,
     /// The request.
     pub id: RequestId,
 }
 
-/// A `Standing` tells what a node is to a request.
+/// A `RequestRole` is the role of a node for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It owns it.
+pub enum RequestRole {
+    /// The node owns the request.
     Owner,
-    /// It holds a copy.
+    /// The node holds a copy.
     Holder,
-    /// It went to another life of a node.
-    WentTo(Incarnation),
-    /// Nothing is known of it.
+    /// The request was handed over to another node incarnation.
+    MovedTo(Incarnation),
+    /// The node does not know the request.
     Unknown,
 }
 
-/// A `Tick` sends what is due.
+/// A `Tick` sends the messages that are due.
 pub struct Tick;
 
-/// A `Sweep` looks for takeovers, repeats and time-outs.
+/// A `Sweep` checks all requests for takeovers, retransmissions and timeouts.
 pub struct Sweep;
 
-impl Keeper {
-    /// Returns the keeper of a node.
-    pub fn new(cx: Arc<Context>) -> Keeper {
+impl OwnershipActor {
+    /// Returns the ownership actor of a node.
+    pub fn new(cx: Arc<Context>) -> OwnershipActor {
         let zone = cx.settings.node.zone.clone();
         let machine = Ownership::new(cx.incarnation, zone, OwnershipOptions::default());
-        Keeper { cx, machine, waiting: HashMap::new(), addresses: HashMap::new() }
+        OwnershipActor { cx, machine, waiting_for_copy: HashMap::new(), addresses: HashMap::new() }
     }
 
     fn carry_out(&mut self, actions: Vec<Action>) {
@@ -124,11 +124,11 @@
             match action {
                 Action::Send(to, message) => messages.entry(to).or_default().push(message),
                 Action::Accepted(id, copied) => {
-                    let Some(tx) = self.waiting.remove(&id) else { continue };
+                    let Some(tx) = self.waiting_for_copy.remove(&id) else { continue };
                     let _ = tx.send(copied);
                 }
                 Action::Start { id, version, body, tokens } => {
-                    self.start(id, version, &body, tokens);
+                    self.start_run(id, version, &body, tokens);
                 }
                 Action::Stop(id) => {
                     let Some(answer) = self.cx.answers.get(id) else { continue };
@@ -172,16 +172,16 @@
             let _ = match sent {
                 Some(Batch { messages }) if messages.is_empty() => return,
                 Some(Batch { messages }) => {
-                    let replies = cx.keeper.send(Receive { from: to, messages }).await;
+                    let replies = cx.ownership.send(Receive { from: to, messages }).await;
                     replies.map(drop)
                 }
-                None => cx.keeper.send(Undelivered { to, ids }).await,
+                None => cx.ownership.send(Undelivered { to, ids }).await,
             };
         });
     }
 
-    fn start(&self, id: RequestId, version: Version, body: &[u8], tokens: Vec<String>) {
-        // A body that this node cannot read was written by another version of the daemon.
+    fn start_run(&self, id: RequestId, version: Version, body: &[u8], tokens: Vec<String>) {
+        // A body that cannot be decoded was encoded by another version of the daemon.
         let Ok(portable) = Portable::decode(body) else {
             tracing::error!(event = Event::HandoffFailed.number(), request = %id);
             return;
@@ -191,12 +191,12 @@
         } else {
             Cause::Takeover
         };
-        tracing::info!(event = Event::RequestTaken.number(), request = %id, cause = cause.word());
+        tracing::info!(event = Event::RequestTaken.number(), request = %id, cause = cause.as_str());
         let answer = portable.answer(id);
         answer.set_may_have_run();
         self.cx.answers.insert(Arc::clone(&answer));
         let run = relay::Run { portable, answer, version, emitted: tokens, cause };
-        tokio::spawn(relay::traced(Arc::clone(&self.cx), run, None));
+        tokio::spawn(relay::run_traced(Arc::clone(&self.cx), run, None));
     }
 
     fn keep(&self, id: RequestId, body: &[u8], tokens: Vec<String>, end: &[u8]) {
@@ -210,7 +210,7 @@
     }
 }
 
-impl Actor for Keeper {
+impl Actor for OwnershipActor {
     type Stop = ();
 
     async fn started(&mut self, _mailbox: &Mailbox<Self>) -> Result<(), Self::Stop> {
@@ -220,17 +220,17 @@
     async fn stopped(self) -> Self::Stop {}
 }
 
-impl Handler<Accept> for Keeper {
+impl Handler<Accept> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, accept: Accept, _cx: &mut xtra::Context<Self>) {
-        self.waiting.insert(accept.id, accept.copied);
+        self.waiting_for_copy.insert(accept.id, accept.copied);
         let actions = self.machine.accept(self.cx.clock.now(), accept.id, accept.body);
         self.carry_out(actions);
     }
 }
 
-impl Handler<Produced> for Keeper {
+impl Handler<Produced> for OwnershipActor {
     type Return = bool;
 
     async fn handle(&mut self, produced: Produced, _cx: &mut xtra::Context<Self>) -> bool {
@@ -238,7 +238,7 @@
     }
 }
 
-impl Handler<Ended> for Keeper {
+impl Handler<Ended> for OwnershipActor {
     type Return = bool;
 
     async fn handle(&mut self, ended: Ended, _cx: &mut xtra::Context<Self>) -> bool {
@@ -247,7 +247,7 @@
     }
 }
 
-impl Handler<Receive> for Keeper {
+impl Handler<Receive> for OwnershipActor {
     type Return = Vec<Message>;
 
     async fn handle(&mut self, receive: Receive, _cx: &mut xtra::Context<Self>) -> Vec<Message> {
@@ -269,7 +269,7 @@
     }
 }
 
-impl Handler<Undelivered> for Keeper {
+impl Handler<Undelivered> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, lost: Undelivered, _cx: &mut xtra::Context<Self>) {
@@ -280,13 +280,13 @@
     }
 }
 
-impl Handler<SetMembers> for Keeper {
+impl Handler<SetMembers> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, set: SetMembers, _cx: &mut xtra::Context<Self>) {
         let mut peers = Vec::new();
         for member in set.0.iter() {
-            // Replies and handovers may still be due to a node that is no member any more.
+            // Addresses are kept, since a removed member may still be due replies and handovers.
             self.addresses.insert(member.incarnation, member.peers);
             peers.push(Peer {
                 incarnation: member.incarnation,
@@ -299,7 +299,7 @@
     }
 }
 
-impl Handler<HandOver> for Keeper {
+impl Handler<HandOver> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, hand_over: HandOver, _cx: &mut xtra::Context<Self>) {
@@ -310,24 +310,24 @@
     }
 }
 
-impl Handler<StandingOf> for Keeper {
-    type Return = Standing;
+impl Handler<GetRequestRole> for OwnershipActor {
+    type Return = RequestRole;
 
-    async fn handle(&mut self, of: StandingOf, _cx: &mut xtra::Context<Self>) -> Standing {
-        if self.machine.version(of.id).is_some() {
-            return Standing::Owner;
+    async fn handle(&mut self, get: GetRequestRole, _cx: &mut xtra::Context<Self>) -> RequestRole {
+        if self.machine.version(get.id).is_some() {
+            return RequestRole::Owner;
         }
-        // Another team must not learn that the request exists, not even from the time that a
-        // search for its owner takes.
-        if let Some(body) = self.machine.held_body(of.id) {
-            let held = Portable::decode(body).is_ok_and(|it| it.team == of.team);
-            return if held { Standing::Holder } else { Standing::Unknown };
+        // Another team must not find out that the request exists, not even from the duration of a
+        // search for its owner.
+        if let Some(body) = self.machine.held_body(get.id) {
+            let is_visible = Portable::decode(body).is_ok_and(|it| it.team == get.team);
+            return if is_visible { RequestRole::Holder } else { RequestRole::Unknown };
         }
-        self.machine.moved_to(of.id).map_or(Standing::Unknown, Standing::WentTo)
+        self.machine.moved_to(get.id).map_or(RequestRole::Unknown, RequestRole::MovedTo)
     }
 }
 
-impl Handler<Tick> for Keeper {
+impl Handler<Tick> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, _tick: Tick, _cx: &mut xtra::Context<Self>) {
@@ -336,7 +336,7 @@
     }
 }
 
-impl Handler<Sweep> for Keeper {
+impl Handler<Sweep> for OwnershipActor {
     type Return = ();
 
     async fn handle(&mut self, _sweep: Sweep, _cx: &mut xtra::Context<Self>) {
