--- a/crates/bench/src/bin/soak.rs
+++ b/crates/bench/src/bin/soak.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use bulrushhall_bench::{scenario::words, soak::Soak};
+use bulrushhall_bench::{scenario::summarize_violations, soak::Soak};
 use clap::{Arg, Command, value_parser};
 
 #[tokio::main]
@@ -37,7 +37,7 @@
             round.faults,
             round.sent,
             round.unfinished,
-            words(&round.violations),
+            summarize_violations(&round.violations),
             round.resident,
             round.handles,
         )?;
--- a/crates/bench/src/reclaim/mod.rs
+++ b/crates/bench/src/reclaim/mod.rs
@@ -10,10 +10,10 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-/// A `Way` is what is done with the answers on a reclaimed engine.
+/// A `ReclaimStrategy` is what is done with the answers on a reclaimed engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
+pub enum ReclaimStrategy {
     /// Each answer begins anew from its prompt.
     Restart,
     /// Each answer is resumed with prompt and emitted tokens.
@@ -72,15 +72,20 @@
 }
 
 /// Plays a reclaimed zone through in simulated time.
-pub fn play(plan: &ReclaimPlan, way: Way) -> ReclaimCost {
+pub fn simulate_reclaim(plan: &ReclaimPlan, strategy: ReclaimStrategy) -> ReclaimCost {
     let mut cost = ReclaimCost::default();
     for number in 0..plan.engines {
-        one_engine(plan, number, way, &mut cost);
+        one_engine(plan, number, strategy, &mut cost);
     }
     cost
 }
 
-fn one_engine(plan: &ReclaimPlan, number: usize, way: Way, cost: &mut ReclaimCost) {
+fn one_engine(
+    plan: &ReclaimPlan,
+    number: usize,
+    strategy: ReclaimStrategy,
+    cost: &mut ReclaimCost,
+) {
     let mut old = EngineModel::new(plan.engine.clone());
     let mut new = EngineModel::new(plan.engine.clone());
     let mut running: BTreeMap<RequestId, Generate> = BTreeMap::new();
@@ -100,7 +105,7 @@
         ..EvacuationOptions::default()
     };
     let mut now = NOTICE_AT;
-    if way == Way::Move {
+    if strategy == ReclaimStrategy::Move {
         let answers: Vec<Movable> = running.values().map(movable).collect();
         let evacuation = Evacuation::plan(plan.notice, answers, &options);
         for id in evacuation.moved {
@@ -121,13 +126,13 @@
     advance(&mut old, now.max(end - options.margin), &mut running);
     for req in running.into_values() {
         old.cancel(req.request);
-        let emitted = match way {
-            Way::Restart => {
+        let emitted = match strategy {
+            ReclaimStrategy::Restart => {
                 cost.rewritten_tokens += req.emitted.len() as u64;
                 cost.recomputed_tokens += req.emitted.len() as u64;
                 Vec::new()
             }
-            Way::Resume | Way::Move => req.emitted,
+            ReclaimStrategy::Resume | ReclaimStrategy::Move => req.emitted,
         };
         new.submit(end, Generate { attempt: 1, emitted, ..req });
     }
--- a/crates/bench/src/scenario/stage.rs
+++ b/crates/bench/src/scenario/environment.rs
@@ -33,8 +33,8 @@
 /// The names of what can't be found or does not come about.
 const LOAD: &str = "load";
 
-/// A `Stage` is a running deployment with load on it.
-pub struct Stage {
+/// An `Environment` is a running deployment with load on it.
+pub struct Environment {
     /// The deployment.
     pub testbed: Testbed,
     watch: RevisionWatch,
@@ -44,16 +44,16 @@
     next_node: usize,
 }
 
-impl Stage {
+impl Environment {
     /// Starts a deployment and waits until all its nodes know each other.
-    pub async fn start(options: TestbedOptions) -> Result<Stage, ScenarioError> {
+    pub async fn start(options: TestbedOptions) -> Result<Environment, ScenarioError> {
         let testbed = Testbed::start(options).await.map_err(failed)?;
         let watch = RevisionWatch::start(&testbed.nodes);
         let next_node = testbed.nodes.len();
         let (records, noticed) = (Vec::new(), None);
-        let stage = Stage { testbed, watch, load: None, records, noticed, next_node };
-        stage.wait_for_members().await?;
-        Ok(stage)
+        let environment = Environment { testbed, watch, load: None, records, noticed, next_node };
+        environment.wait_for_members().await?;
+        Ok(environment)
     }
 
     /// Returns the nodes that live.
@@ -93,12 +93,12 @@
     }
 
     /// Lets go of ended nodes and of all that was seen so far.
-    pub fn forget(&mut self) {
+    pub fn clear_observations(&mut self) {
         for node in self.testbed.nodes.iter().filter(|node| !node.is_alive()) {
             self.testbed.machines.kill(&node.context().settings.node.vm);
         }
         self.testbed.nodes.retain(|node| node.is_alive());
-        self.watch.forget();
+        self.watch.clear_observations();
         self.records = Vec::new();
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Starts to send load; it goes on while the scenario does other things.
-    pub fn send(&mut self, plan: Plan) -> Result<(), ScenarioError> {
+    pub fn start_load(&mut self, plan: Plan) -> Result<(), ScenarioError> {
         let session = Session::start(plan, self.testbed.entries()).map_err(failed)?;
         self.load = Some(tokio::spawn(session.finish()));
         Ok(())
@@ -128,7 +128,9 @@
 
     /// Waits until the load has ended; returns how many requests there were and those that did
     /// not finish, by how they ended.
-    pub async fn settle(&mut self) -> Result<(usize, BTreeMap<Outcome, usize>), ScenarioError> {
+    pub async fn wait_for_load(
+        &mut self,
+    ) -> Result<(usize, BTreeMap<Outcome, usize>), ScenarioError> {
         let load = self.load.take().ok_or(ScenarioError::NotThere(LOAD))?;
         let report = load.await.map_err(failed)?.map_err(failed)?;
         let sent = report.records.len();
@@ -182,7 +184,7 @@
 }
 
 /// Returns how often each promise was broken, as words that are the same every time.
-pub fn words(violations: &[Violation]) -> String {
+pub fn summarize_violations(violations: &[Violation]) -> String {
     let mut counts: BTreeMap<Broken, usize> = BTreeMap::new();
     for violation in violations {
         *counts.entry(violation.broken).or_default() += 1;
--- a/crates/bench/src/scenario/mod.rs
+++ b/crates/bench/src/scenario/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! A script's output holds words and counts only, never times, so it is the same every time.
 
+mod environment;
 mod error;
 mod runner;
-mod stage;
 mod watch;
 
+pub use environment::{Environment, summarize_violations};
 pub use error::ScenarioError;
 pub use runner::ScenarioRunner;
-pub use stage::{Stage, words};
--- a/crates/bench/src/scenario/runner.rs
+++ b/crates/bench/src/scenario/runner.rs
@@ -11,13 +11,13 @@
     TestbedOptions,
     check::Violation,
     load::{Mix, Plan},
-    scenario::{ScenarioError, Stage, stage::words},
+    scenario::{Environment, ScenarioError, environment::summarize_violations},
 };
 
 /// A `ScenarioRunner` carries out one script.
 pub struct ScenarioRunner {
     runtime: Runtime,
-    stage: Option<Stage>,
+    environment: Option<Environment>,
     applied: Revision,
     details: Vec<Violation>,
 }
@@ -28,7 +28,7 @@
     /// Returns a runner that has started nothing yet.
     pub fn new() -> io::Result<ScenarioRunner> {
         let runtime = Runtime::new()?;
-        Ok(ScenarioRunner { runtime, stage: None, applied: Revision(0), details: Vec::new() })
+        Ok(ScenarioRunner { runtime, environment: None, applied: Revision(0), details: Vec::new() })
     }
 
     /// Returns the broken promises in full, for whoever looks into a script that failed.
@@ -40,7 +40,7 @@
         if name == "start" {
             return self.start(args);
         }
-        let stage = self.stage.as_mut().ok_or(ScenarioError::NotThere("deployment"))?;
+        let environment = self.environment.as_mut().ok_or(ScenarioError::NotThere("deployment"))?;
         let runtime = &self.runtime;
         match name {
             "wait" => {
@@ -50,22 +50,22 @@
             }
             "load" => {
                 let plan = plan(args)?;
-                runtime.block_on(async { stage.send(plan) })?;
+                runtime.block_on(async { environment.start_load(plan) })?;
                 Ok("sending".to_owned())
             }
             "kv" => {
-                stage.set_kv(faults(args)?);
+                environment.set_kv(faults(args)?);
                 Ok(String::new())
             }
             "service" => {
                 let at: usize = position(args, "number")?;
-                let service = stage.testbed.services.get(at);
+                let service = environment.testbed.services.get(at);
                 service.ok_or(ScenarioError::NotThere("service"))?.switches().set(faults(args)?);
                 Ok(String::new())
             }
             "engine" => {
                 let at: usize = position(args, "number")?;
-                let engine = stage.testbed.engines.get(at);
+                let engine = environment.testbed.engines.get(at);
                 let engine = engine.ok_or(ScenarioError::NotThere("engine"))?;
                 match args.next_pos() {
                     Some("kill") => engine.kill(),
@@ -73,39 +73,39 @@
                 }
                 Ok(String::new())
             }
-            "node" => node(runtime, stage, args),
+            "node" => node(runtime, environment, args),
             "reclaim" => {
                 let zone = args.take_key("zone").ok_or(ScenarioError::Missing("zone"))?.to_owned();
                 let notice = millis(args, "notice", 2_000)?;
-                let hit = runtime.block_on(async { stage.reclaim(&zone, notice) });
+                let hit = runtime.block_on(async { environment.reclaim(&zone, notice) });
                 Ok(format!("{hit} VMs leave"))
             }
             "refuse" => {
                 let zones = args.take_key("zones").unwrap_or_default();
-                stage.testbed.refuse_in(&zones.split(',').collect::<Vec<&str>>());
+                environment.testbed.refuse_in(&zones.split(',').collect::<Vec<&str>>());
                 Ok(String::new())
             }
             "apply" => {
                 let class = args.take_key("class").ok_or(ScenarioError::Missing("class"))?;
-                self.applied = runtime.block_on(stage.apply(class))?;
+                self.applied = runtime.block_on(environment.apply(class))?;
                 Ok("accepted".to_owned())
             }
             "config" => {
-                runtime.block_on(stage.wait_for_config(self.applied))?;
+                runtime.block_on(environment.wait_for_config(self.applied))?;
                 Ok("in force everywhere".to_owned())
             }
             "members" => {
-                let alive = runtime.block_on(stage.wait_for_members())?;
+                let alive = runtime.block_on(environment.wait_for_members())?;
                 Ok(format!("{alive} nodes know each other"))
             }
             "leaving" => {
                 let zone = args.take_key("zone").ok_or(ScenarioError::Missing("zone"))?;
                 let (grace, length) = (millis(args, "grace", 3_000)?, millis(args, "for", 1_000)?);
-                let broken = runtime.block_on(stage.judge_leaving(zone, grace, length))?;
+                let broken = runtime.block_on(environment.judge_leaving(zone, grace, length))?;
                 Ok(self.told(broken))
             }
             "settle" => {
-                let (sent, others) = runtime.block_on(stage.settle())?;
+                let (sent, others) = runtime.block_on(environment.wait_for_load())?;
                 let others: Vec<String> =
                     others.iter().map(|(outcome, count)| format!("{outcome:?} {count}")).collect();
                 Ok(match others.as_slice() {
@@ -115,15 +115,15 @@
             }
             "settle-accepted" => {
                 // How many are refused depends on how fast things go; what was accepted does not.
-                runtime.block_on(stage.settle())?;
+                runtime.block_on(environment.wait_for_load())?;
                 Ok("ended".to_owned())
             }
             "judge" => {
-                let broken = stage.judge();
+                let broken = environment.judge();
                 Ok(self.told(broken))
             }
             "judge-stops" => {
-                let broken = stage.judge_stops();
+                let broken = environment.judge_stops();
                 Ok(self.told(broken))
             }
             _ => Err(ScenarioError::UnknownCommand(name.to_owned())),
@@ -137,14 +137,14 @@
             services: number(args, "services", 2)?,
             ..TestbedOptions::default()
         };
-        let stage = self.runtime.block_on(Stage::start(options))?;
-        let nodes = stage.alive().len();
-        self.stage = Some(stage);
+        let environment = self.runtime.block_on(Environment::start(options))?;
+        let nodes = environment.alive().len();
+        self.environment = Some(environment);
         Ok(format!("{nodes} nodes know each other"))
     }
 
     fn told(&mut self, broken: Vec<Violation>) -> String {
-        let told = words(&broken);
+        let told = summarize_violations(&broken);
         self.details.extend(broken);
         told
     }
@@ -162,24 +162,24 @@
 
     fn end_script(&mut self) -> Result<(), Box<dyn Error>> {
         // The tasks of the stand-ins belong to the runtime, so they end inside it.
-        let stage = self.stage.take();
-        self.runtime.block_on(async { drop(stage) });
+        let environment = self.environment.take();
+        self.runtime.block_on(async { drop(environment) });
         Ok(())
     }
 }
 
 fn node(
     runtime: &Runtime,
-    stage: &mut Stage,
+    environment: &mut Environment,
     args: &mut Args<'_>,
 ) -> Result<String, ScenarioError> {
     let first = args.next_pos().ok_or(ScenarioError::Missing("number"))?;
     if first == "add" {
-        runtime.block_on(stage.add_node())?;
+        runtime.block_on(environment.add_node())?;
         return Ok(String::new());
     }
     let at: usize = parse("number", first)?;
-    let node = stage.testbed.nodes.get(at).ok_or(ScenarioError::NotThere("node"))?;
+    let node = environment.testbed.nodes.get(at).ok_or(ScenarioError::NotThere("node"))?;
     match args.next_pos() {
         Some("kill") => node.kill(),
         Some("stop") => runtime.block_on(node.stop()),
--- a/crates/bench/src/scenario/watch.rs
+++ b/crates/bench/src/scenario/watch.rs
@@ -52,7 +52,7 @@
     }
 
     /// Lets go of ended nodes and of what was seen; the newest accepted revision stays due.
-    pub fn forget(&self) {
+    pub fn clear_observations(&self) {
         let mut state = lock(&self.state);
         state.nodes.retain(|node| node.is_alive());
         state.seen = Vec::new();
--- a/crates/bench/src/soak.rs
+++ b/crates/bench/src/soak.rs
@@ -11,7 +11,7 @@
     TestbedOptions,
     check::Violation,
     load::{Mix, Plan},
-    scenario::{ScenarioError, Stage},
+    scenario::{Environment, ScenarioError},
 };
 
 /// How long load arrives in one round.
@@ -63,7 +63,7 @@
 
 /// A `Soak` is a long run.
 pub struct Soak {
-    stage: Stage,
+    environment: Environment,
     random: Pcg64Mcg,
     seed: u64,
     number: u64,
@@ -89,8 +89,8 @@
     pub async fn start(seed: u64) -> Result<Soak, ScenarioError> {
         let options =
             TestbedOptions { nodes: NODES, engines: 6, services: 3, ..TestbedOptions::default() };
-        let stage = Stage::start(options).await?;
-        Ok(Soak { stage, random: Pcg64Mcg::seed_from_u64(seed), seed, number: 0, applied: 0 })
+        let environment = Environment::start(options).await?;
+        Ok(Soak { environment, random: Pcg64Mcg::seed_from_u64(seed), seed, number: 0, applied: 0 })
     }
 
     /// Plays one round and judges it.
@@ -100,19 +100,19 @@
         for _ in 0..FAULTS_PER_ROUND {
             faults.push(Fault::ALL[self.random.random_range(0..Fault::ALL.len())]);
         }
-        self.stage.send(self.plan())?;
+        self.environment.start_load(self.plan())?;
         for fault in &faults {
             sleep(Duration::from_millis(self.random.random_range(300..1_500))).await;
             self.bring_about(*fault).await?;
         }
-        let (sent, unfinished) = self.stage.settle().await?;
+        let (sent, unfinished) = self.environment.wait_for_load().await?;
         self.end_faults();
-        while self.stage.alive().len() < NODES {
-            self.stage.add_node().await?;
+        while self.environment.alive().len() < NODES {
+            self.environment.add_node().await?;
         }
-        self.stage.wait_for_members().await?;
-        let violations = self.stage.judge();
-        self.stage.forget();
+        self.environment.wait_for_members().await?;
+        let violations = self.environment.judge();
+        self.environment.clear_observations();
         let unfinished = unfinished.values().sum();
         let (resident, handles) = (resident(), handles());
         Ok(Round { number: self.number, faults, sent, unfinished, violations, resident, handles })
@@ -134,47 +134,47 @@
     }
 
     async fn bring_about(&mut self, fault: Fault) -> Result<(), ScenarioError> {
-        let stage = &mut self.stage;
+        let environment = &mut self.environment;
         match fault {
             Fault::NodeDies | Fault::NodeStops => {
-                let alive = stage.alive();
+                let alive = environment.alive();
                 let node = &alive[self.random.random_range(0..alive.len())];
                 match fault {
                     Fault::NodeDies => node.kill(),
                     _ => node.stop().await,
                 }
             }
-            Fault::KvOutage => stage.set_kv(Faults { outage: true, ..Faults::default() }),
+            Fault::KvOutage => environment.set_kv(Faults { outage: true, ..Faults::default() }),
             Fault::KvLosesReplies => {
-                stage.set_kv(Faults { lost_replies: 0.4, late_ms: 200, ..Faults::default() });
+                environment.set_kv(Faults { lost_replies: 0.4, late_ms: 200, ..Faults::default() });
             }
-            Fault::KvSlow => stage.set_kv(Faults { slow_ms: 300, ..Faults::default() }),
+            Fault::KvSlow => environment.set_kv(Faults { slow_ms: 300, ..Faults::default() }),
             Fault::OrdersLoseReplies => {
-                let services = &stage.testbed.services;
+                let services = &environment.testbed.services;
                 let at = self.random.random_range(0..services.len());
                 services[at].switches().set(Faults { lost_replies: 0.5, ..Faults::default() });
             }
             Fault::EngineFreezes => {
-                let engines = &stage.testbed.engines;
+                let engines = &environment.testbed.engines;
                 let at = self.random.random_range(0..engines.len());
                 engines[at].switches().set(Faults { frozen: true, ..Faults::default() });
             }
             Fault::Apply => {
                 // While the service is out an operator would wait, and the round with it.
-                stage.set_kv(Faults::default());
+                environment.set_kv(Faults::default());
                 self.applied += 1;
-                stage.apply(&format!("class-{}", self.applied)).await.map(drop)?;
+                environment.apply(&format!("class-{}", self.applied)).await.map(drop)?;
             }
         }
         Ok(())
     }
 
     fn end_faults(&self) {
-        self.stage.set_kv(Faults::default());
-        for service in &self.stage.testbed.services {
+        self.environment.set_kv(Faults::default());
+        for service in &self.environment.testbed.services {
             service.switches().set(Faults::default());
         }
-        for engine in &self.stage.testbed.engines {
+        for engine in &self.environment.testbed.engines {
             engine.switches().set(Faults::default());
         }
     }
