--- a/crates/bench/src/scenario/environment.rs
+++ b/crates/bench/src/scenario/environment.rs
@@ -1,4 +1,4 @@
-//! A running deployment with load on it, as a scenario acts on it.
+//! The deployment under load that the commands of a scenario act on.
 
 use std::{
     collections::BTreeMap,
@@ -21,61 +21,63 @@
     load::{Outcome, Plan, PlanError, Record, Report, Session},
     scenario::{
         ScenarioError,
-        watch::{BOUND, RevisionWatch},
+        watch::{CONFIG_TIMEOUT, RevisionWatch},
     },
     testbed::NodeProcess,
 };
 
-/// The pause between two looks at something that is to come about.
-const LOOK: Duration = Duration::from_millis(20);
-/// The time in which nodes are to know each other.
-const MEMBERS: Duration = Duration::from_secs(30);
-/// The names of what can't be found or does not come about.
+/// The interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The time limit for the membership of all nodes to converge.
+const MEMBERS_TIMEOUT: Duration = Duration::from_secs(30);
+/// What a [`ScenarioError::NotFound`] names where no load was started.
 const LOAD: &str = "load";
 
-/// An `Environment` is a running deployment with load on it.
+/// An `Environment` is a running deployment under load, with what was observed on it.
 pub struct Environment {
-    /// The deployment.
+    /// The testbed that runs the deployment.
     pub testbed: Testbed,
     watch: RevisionWatch,
     load: Option<JoinHandle<Result<Report, PlanError>>>,
     records: Vec<Record>,
-    noticed: Option<Instant>,
-    next_node: usize,
+    last_notice: Option<Instant>,
+    next_node_index: usize,
 }
 
 impl Environment {
-    /// Starts a deployment and waits until all its nodes know each other.
+    /// Starts a deployment and waits until each node has all others as members.
     pub async fn start(options: TestbedOptions) -> Result<Environment, ScenarioError> {
-        let testbed = Testbed::start(options).await.map_err(failed)?;
+        let testbed = Testbed::start(options).await.map_err(testbed_error)?;
         let watch = RevisionWatch::start(&testbed.nodes);
-        let next_node = testbed.nodes.len();
-        let (records, noticed) = (Vec::new(), None);
-        let environment = Environment { testbed, watch, load: None, records, noticed, next_node };
+        let next_node_index = testbed.nodes.len();
+        let (records, last_notice) = (Vec::new(), None);
+        let environment =
+            Environment { testbed, watch, load: None, records, last_notice, next_node_index };
         environment.wait_for_members().await?;
         Ok(environment)
     }
 
-    /// Returns the nodes that live.
+    /// Returns the nodes that are alive.
     pub fn alive(&self) -> Vec<Arc<NodeProcess>> {
         let alive = self.testbed.nodes.iter().filter(|node| node.is_alive());
         alive.map(Arc::clone).collect()
     }
 
-    /// Waits until each living node knows all others and no more.
+    /// Waits until each live node has exactly the other live nodes as members; returns the number
+    /// of live nodes.
     pub async fn wait_for_members(&self) -> Result<usize, ScenarioError> {
         let alive = self.alive();
         let others = alive.len().saturating_sub(1);
-        within(MEMBERS, "nodes that know each other", || {
+        wait_until(MEMBERS_TIMEOUT, "membership to converge", || {
             alive.iter().all(|node| node.context().members.current().len() == others)
         })
         .await?;
         Ok(alive.len())
     }
 
-    /// Waits until all living nodes have the newest accepted configuration in force.
+    /// Waits until all live nodes have `revision` or a later one in force.
     pub async fn wait_for_config(&self, revision: Revision) -> Result<(), ScenarioError> {
-        within(BOUND, "the configuration everywhere", || {
+        wait_until(CONFIG_TIMEOUT, "the configuration to be in force on all nodes", || {
             self.alive().iter().all(|node| revision <= node.context().in_force().revision)
         })
         .await
@@ -83,16 +85,16 @@
 
     /// Starts one more node.
     pub async fn add_node(&mut self) -> Result<(), ScenarioError> {
-        let at = self.next_node;
-        self.next_node += 1;
-        let zone = self.testbed.zone_of(at);
-        self.testbed.add_node(at, zone, &Default::default()).await.map_err(failed)?;
-        let added = self.testbed.nodes.last().ok_or(ScenarioError::NotThere("node"))?;
+        let index = self.next_node_index;
+        self.next_node_index += 1;
+        let zone = self.testbed.zone_of(index);
+        self.testbed.add_node(index, zone, &Default::default()).await.map_err(testbed_error)?;
+        let added = self.testbed.nodes.last().ok_or(ScenarioError::NotFound("node"))?;
         self.watch.add(added);
         Ok(())
     }
 
-    /// Lets go of ended nodes and of all that was seen so far.
+    /// Removes nodes that have ended and discards all records and observations.
     pub fn clear_observations(&mut self) {
         for node in self.testbed.nodes.iter().filter(|node| !node.is_alive()) {
             self.testbed.machines.kill(&node.context().settings.node.vm);
@@ -102,9 +104,9 @@
         self.records = Vec::new();
     }
 
-    /// Announces the reclaim of all VMs of a zone.
+    /// Announces the reclaim of all VMs of a zone; returns how many there are.
     pub fn reclaim(&mut self, zone: &str, notice: Duration) -> usize {
-        self.noticed = Some(Instant::now());
+        self.last_notice = Some(Instant::now());
         self.testbed.reclaim_zone(zone, notice).len()
     }
 
@@ -114,65 +116,67 @@
         let address = self.testbed.kv.address();
         let kv = HttpKeyValue::new(Endpoint::new(address, EndpointOptions::default()));
         let applied = config_chain::apply(&kv, None, &self.testbed.config).await;
-        let revision = applied.map_err(failed)?.revision;
+        let revision = applied.map_err(testbed_error)?.revision;
         self.watch.accepted(revision);
         Ok(revision)
     }
 
-    /// Starts to send load; it goes on while the scenario does other things.
+    /// Starts to send load in a task of its own.
     pub fn start_load(&mut self, plan: Plan) -> Result<(), ScenarioError> {
-        let session = Session::start(plan, self.testbed.entries()).map_err(failed)?;
+        let session = Session::start(plan, self.testbed.entries()).map_err(testbed_error)?;
         self.load = Some(tokio::spawn(session.finish()));
         Ok(())
     }
 
-    /// Waits until the load has ended; returns how many requests there were and those that did
-    /// not finish, by how they ended.
+    /// Waits until the load has ended; returns the number of requests, and how many did not
+    /// finish, by outcome.
     pub async fn wait_for_load(
         &mut self,
     ) -> Result<(usize, BTreeMap<Outcome, usize>), ScenarioError> {
-        let load = self.load.take().ok_or(ScenarioError::NotThere(LOAD))?;
-        let report = load.await.map_err(failed)?.map_err(failed)?;
+        let load = self.load.take().ok_or(ScenarioError::NotFound(LOAD))?;
+        let report = load.await.map_err(testbed_error)?.map_err(testbed_error)?;
         let sent = report.records.len();
-        let mut others: BTreeMap<Outcome, usize> = BTreeMap::new();
+        let mut unfinished: BTreeMap<Outcome, usize> = BTreeMap::new();
         for record in report.records.iter().filter(|it| it.outcome != Outcome::Finished) {
-            *others.entry(record.outcome).or_default() += 1;
+            *unfinished.entry(record.outcome).or_default() += 1;
         }
         self.records.extend(report.records);
-        Ok((sent, others))
+        Ok((sent, unfinished))
     }
 
-    /// Judges all promises that hold whatever happened; returns the broken ones with their counts.
+    /// Checks the promises that hold under all faults; returns their violations.
     pub fn judge(&self) -> Vec<Violation> {
         let mut violations = judge(&self.records, &self.testbed.ledger.counts());
         violations.extend(self.watch.judge());
         violations
     }
 
-    /// Judges that no stream was cut, in a scenario whose only disturbances are planned stops.
+    /// Checks that no stream was cut, for scenarios whose only faults are planned stops.
     pub fn judge_stops(&self) -> Vec<Violation> {
         planned_stop_cuts_nothing(&self.records)
     }
 
-    /// Judges that engines of a zone got no work later than `grace` after the last notice.
+    /// Checks that engines of a zone get no new work later than `grace` after the last notice.
+    ///
+    /// Engines are sampled from the end of the grace period on, for the time `length`.
     pub async fn judge_leaving(
         &self,
         zone: &str,
         grace: Duration,
         length: Duration,
     ) -> Result<Vec<Violation>, ScenarioError> {
-        let noticed = self.noticed.ok_or(ScenarioError::NotThere("notice"))?;
+        let last_notice = self.last_notice.ok_or(ScenarioError::NotFound("notice"))?;
         let mut samples = Vec::new();
-        sleep((noticed + grace).saturating_duration_since(Instant::now())).await;
-        while noticed.elapsed() < grace + length {
-            for (at, engine) in self.testbed.engines.iter().enumerate() {
-                if self.testbed.zone_of(at) == zone {
-                    let (vm, after_notice) = (engine.vm().clone(), noticed.elapsed());
+        sleep((last_notice + grace).saturating_duration_since(Instant::now())).await;
+        while last_notice.elapsed() < grace + length {
+            for (index, engine) in self.testbed.engines.iter().enumerate() {
+                if self.testbed.zone_of(index) == zone {
+                    let (vm, after_notice) = (engine.vm().clone(), last_notice.elapsed());
                     let given = engine.counts().generates;
                     samples.push(WorkSample { vm, after_notice, given });
                 }
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(no_new_work(&samples, grace))
     }
@@ -183,7 +187,7 @@
     }
 }
 
-/// Returns how often each promise was broken, as words that are the same every time.
+/// Returns how often each promise was broken, as a text in which the promises keep their order.
 pub fn summarize_violations(violations: &[Violation]) -> String {
     let mut counts: BTreeMap<Broken, usize> = BTreeMap::new();
     for violation in violations {
@@ -196,21 +200,21 @@
     format!("broken: {}", counts.collect::<Vec<String>>().join(", "))
 }
 
-async fn within(
+async fn wait_until(
     bound: Duration,
     what: &'static str,
-    mut is_so: impl FnMut() -> bool,
+    mut condition: impl FnMut() -> bool,
 ) -> Result<(), ScenarioError> {
     let until = Instant::now() + bound;
-    while !is_so() {
+    while !condition() {
         if until <= Instant::now() {
-            return Err(ScenarioError::Late(what));
+            return Err(ScenarioError::Timeout(what));
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-fn failed(error: impl std::fmt::Display) -> ScenarioError {
+fn testbed_error(error: impl std::fmt::Display) -> ScenarioError {
     ScenarioError::Testbed(error.to_string())
 }
--- a/crates/bench/src/scenario/error.rs
+++ b/crates/bench/src/scenario/error.rs
@@ -1,20 +1,20 @@
-//! Why a script's command could not be carried out.
+//! Errors of the commands of scenario scripts.
 
 use std::{error, fmt};
 
-/// A `ScenarioError` tells why a command could not be carried out.
+/// A `ScenarioError` is the reason why a command failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScenarioError {
-    /// No command has the name.
+    /// The script names a command that does not exist.
     UnknownCommand(String),
-    /// An argument is missing.
+    /// A required argument is missing.
     Missing(&'static str),
-    /// An argument can't be read.
+    /// An argument has a value that can't be parsed.
     Malformed(&'static str, String),
-    /// Nothing was started yet, or nothing has the number.
-    NotThere(&'static str),
-    /// Something did not come about within the bound.
-    Late(&'static str),
+    /// The command needs something that was not started, or that has no entry of that number.
+    NotFound(&'static str),
+    /// A condition was not met before its time limit.
+    Timeout(&'static str),
     /// The testbed could not be started or changed.
     Testbed(String),
 }
@@ -22,11 +22,13 @@
 impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ScenarioError::UnknownCommand(name) => write!(f, "no command is called {name:?}"),
-            ScenarioError::Missing(name) => write!(f, "{name} is missing"),
-            ScenarioError::Malformed(name, value) => write!(f, "{name} can't be {value:?}"),
-            ScenarioError::NotThere(what) => write!(f, "there is no such {what}"),
-            ScenarioError::Late(what) => write!(f, "not within the bound: {what}"),
+            ScenarioError::UnknownCommand(name) => write!(f, "unknown command {name:?}"),
+            ScenarioError::Missing(name) => write!(f, "argument {name} is missing"),
+            ScenarioError::Malformed(name, value) => {
+                write!(f, "argument {name} has the invalid value {value:?}")
+            }
+            ScenarioError::NotFound(what) => write!(f, "{what} not found"),
+            ScenarioError::Timeout(what) => write!(f, "timed out waiting for {what}"),
             ScenarioError::Testbed(error) => f.write_str(error),
         }
     }
--- a/crates/bench/src/scenario/mod.rs
+++ b/crates/bench/src/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! Scenarios: scripts that start a deployment, send load, bring about faults, and expect.
+//! Scenario scripts: start a deployment, send load, inject faults and check the result.
 //!
-//! A script's output holds words and counts only, never times, so it is the same every time.
+//! A script's output holds texts and counts but no times, so that every run gives the same output.
 
 mod environment;
 mod error;
--- a/crates/bench/src/scenario/runner.rs
+++ b/crates/bench/src/scenario/runner.rs
@@ -14,37 +14,42 @@
     scenario::{Environment, ScenarioError, environment::summarize_violations},
 };
 
-/// A `ScenarioRunner` carries out one script.
+/// A `ScenarioRunner` executes the commands of one script.
 pub struct ScenarioRunner {
     runtime: Runtime,
     environment: Option<Environment>,
     applied: Revision,
-    details: Vec<Violation>,
+    violations: Vec<Violation>,
 }
 
 type Args<'a> = ArgumentConsumer<'a>;
 
 impl ScenarioRunner {
-    /// Returns a runner that has started nothing yet.
+    /// Returns a runner without a deployment; the script's `start` command starts one.
     pub fn new() -> io::Result<ScenarioRunner> {
         let runtime = Runtime::new()?;
-        Ok(ScenarioRunner { runtime, environment: None, applied: Revision(0), details: Vec::new() })
+        Ok(ScenarioRunner {
+            runtime,
+            environment: None,
+            applied: Revision(0),
+            violations: Vec::new(),
+        })
     }
 
-    /// Returns the broken promises in full, for whoever looks into a script that failed.
-    pub fn details(&self) -> &[Violation] {
-        &self.details
+    /// Returns all violations found so far, in full; the script's output holds only their counts.
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 
-    fn carry_out(&mut self, name: &str, args: &mut Args<'_>) -> Result<String, ScenarioError> {
+    fn execute(&mut self, name: &str, args: &mut Args<'_>) -> Result<String, ScenarioError> {
         if name == "start" {
             return self.start(args);
         }
-        let environment = self.environment.as_mut().ok_or(ScenarioError::NotThere("deployment"))?;
+        let environment = self.environment.as_mut().ok_or(ScenarioError::NotFound("deployment"))?;
         let runtime = &self.runtime;
         match name {
             "wait" => {
-                let pause = millis(args, "ms", 0)?;
+                let pause = duration_ms(args, "ms", 0)?;
                 runtime.block_on(async { sleep(pause).await });
                 Ok(String::new())
             }
@@ -58,15 +63,15 @@
                 Ok(String::new())
             }
             "service" => {
-                let at: usize = position(args, "number")?;
-                let service = environment.testbed.services.get(at);
-                service.ok_or(ScenarioError::NotThere("service"))?.switches().set(faults(args)?);
+                let index: usize = positional(args, "number")?;
+                let service = environment.testbed.services.get(index);
+                service.ok_or(ScenarioError::NotFound("service"))?.switches().set(faults(args)?);
                 Ok(String::new())
             }
             "engine" => {
-                let at: usize = position(args, "number")?;
-                let engine = environment.testbed.engines.get(at);
-                let engine = engine.ok_or(ScenarioError::NotThere("engine"))?;
+                let index: usize = positional(args, "number")?;
+                let engine = environment.testbed.engines.get(index);
+                let engine = engine.ok_or(ScenarioError::NotFound("engine"))?;
                 match args.next_pos() {
                     Some("kill") => engine.kill(),
                     _ => engine.switches().set(faults(args)?),
@@ -76,9 +81,9 @@
             "node" => node(runtime, environment, args),
             "reclaim" => {
                 let zone = args.take_key("zone").ok_or(ScenarioError::Missing("zone"))?.to_owned();
-                let notice = millis(args, "notice", 2_000)?;
-                let hit = runtime.block_on(async { environment.reclaim(&zone, notice) });
-                Ok(format!("{hit} VMs leave"))
+                let notice = duration_ms(args, "notice", 2_000)?;
+                let count = runtime.block_on(async { environment.reclaim(&zone, notice) });
+                Ok(format!("{count} VMs leave"))
             }
             "refuse" => {
                 let zones = args.take_key("zones").unwrap_or_default();
@@ -100,31 +105,35 @@
             }
             "leaving" => {
                 let zone = args.take_key("zone").ok_or(ScenarioError::Missing("zone"))?;
-                let (grace, length) = (millis(args, "grace", 3_000)?, millis(args, "for", 1_000)?);
+                let (grace, length) =
+                    (duration_ms(args, "grace", 3_000)?, duration_ms(args, "for", 1_000)?);
                 let broken = runtime.block_on(environment.judge_leaving(zone, grace, length))?;
-                Ok(self.told(broken))
+                Ok(self.report(broken))
             }
             "settle" => {
-                let (sent, others) = runtime.block_on(environment.wait_for_load())?;
-                let others: Vec<String> =
-                    others.iter().map(|(outcome, count)| format!("{outcome:?} {count}")).collect();
-                Ok(match others.as_slice() {
+                let (sent, unfinished) = runtime.block_on(environment.wait_for_load())?;
+                let unfinished: Vec<String> = unfinished
+                    .iter()
+                    .map(|(outcome, count)| format!("{outcome:?} {count}"))
+                    .collect();
+                Ok(match unfinished.as_slice() {
                     [] => format!("{sent} requests, all finished"),
-                    _ => format!("{sent} requests, not finished: {}", others.join(", ")),
+                    _ => format!("{sent} requests, not finished: {}", unfinished.join(", ")),
                 })
             }
             "settle-accepted" => {
-                // How many are refused depends on how fast things go; what was accepted does not.
+                // How many requests are refused depends on timing, so no counts are printed. What
+                // becomes of accepted requests does not, and `judge` checks it.
                 runtime.block_on(environment.wait_for_load())?;
                 Ok("ended".to_owned())
             }
             "judge" => {
                 let broken = environment.judge();
-                Ok(self.told(broken))
+                Ok(self.report(broken))
             }
             "judge-stops" => {
                 let broken = environment.judge_stops();
-                Ok(self.told(broken))
+                Ok(self.report(broken))
             }
             _ => Err(ScenarioError::UnknownCommand(name.to_owned())),
         }
@@ -143,10 +152,10 @@
         Ok(format!("{nodes} nodes know each other"))
     }
 
-    fn told(&mut self, broken: Vec<Violation>) -> String {
-        let told = summarize_violations(&broken);
-        self.details.extend(broken);
-        told
+    fn report(&mut self, broken: Vec<Violation>) -> String {
+        let report = summarize_violations(&broken);
+        self.violations.extend(broken);
+        report
     }
 }
 
@@ -155,13 +164,13 @@
 
     fn run(&mut self, command: &Command, _cx: &Context) -> Result<String, Box<dyn Error>> {
         let mut args = command.consume_args();
-        let told = self.carry_out(&command.name, &mut args)?;
+        let output = self.execute(&command.name, &mut args)?;
         args.reject_next()?;
-        Ok(told)
+        Ok(output)
     }
 
     fn end_script(&mut self) -> Result<(), Box<dyn Error>> {
-        // The tasks of the stand-ins belong to the runtime, so they end inside it.
+        // The tasks of the stand-ins belong to the runtime, so the testbed is dropped inside it.
         let environment = self.environment.take();
         self.runtime.block_on(async { drop(environment) });
         Ok(())
@@ -173,18 +182,18 @@
     environment: &mut Environment,
     args: &mut Args<'_>,
 ) -> Result<String, ScenarioError> {
-    let first = args.next_pos().ok_or(ScenarioError::Missing("number"))?;
-    if first == "add" {
+    let target = args.next_pos().ok_or(ScenarioError::Missing("number"))?;
+    if target == "add" {
         runtime.block_on(environment.add_node())?;
         return Ok(String::new());
     }
-    let at: usize = parse("number", first)?;
-    let node = environment.testbed.nodes.get(at).ok_or(ScenarioError::NotThere("node"))?;
+    let index: usize = parse("number", target)?;
+    let node = environment.testbed.nodes.get(index).ok_or(ScenarioError::NotFound("node"))?;
     match args.next_pos() {
         Some("kill") => node.kill(),
         Some("stop") => runtime.block_on(node.stop()),
-        other => {
-            return Err(ScenarioError::Malformed("act", other.unwrap_or_default().to_owned()));
+        action => {
+            return Err(ScenarioError::Malformed("action", action.unwrap_or_default().to_owned()));
         }
     }
     Ok(String::new())
@@ -195,7 +204,7 @@
     Ok(Plan {
         mix,
         rate: number(args, "rate", 20.0)?,
-        length: millis(args, "for", 3_000)?,
+        length: duration_ms(args, "for", 3_000)?,
         requests: number(args, "requests", 500)?,
         seed: number(args, "seed", 1)?,
         warm_up: Duration::ZERO,
@@ -222,7 +231,7 @@
     Ok(faults)
 }
 
-fn millis(
+fn duration_ms(
     args: &mut Args<'_>,
     name: &'static str,
     default: u64,
@@ -238,7 +247,7 @@
     args.take_key(name).map_or(Ok(default), |text| parse(name, text))
 }
 
-fn position<T: FromStr>(args: &mut Args<'_>, name: &'static str) -> Result<T, ScenarioError> {
+fn positional<T: FromStr>(args: &mut Args<'_>, name: &'static str) -> Result<T, ScenarioError> {
     parse(name, args.next_pos().ok_or(ScenarioError::Missing(name))?)
 }
 
--- a/crates/bench/src/scenario/watch.rs
+++ b/crates/bench/src/scenario/watch.rs
@@ -1,4 +1,4 @@
-//! A task that notes which revision each node has in force while a scenario runs.
+//! A task that samples which revision each node has in force while a scenario runs.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -13,12 +13,12 @@
     testbed::NodeProcess,
 };
 
-/// The pause between two looks.
-const PAUSE: Duration = Duration::from_millis(25);
-/// The time in which a configuration is to be in force everywhere.
-pub const BOUND: Duration = Duration::from_secs(12);
+/// The interval at which nodes are sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(25);
+/// The time limit for an accepted configuration to be in force on all nodes.
+pub const CONFIG_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// A `RevisionWatch` notes revisions until it is dropped.
+/// A `RevisionWatch` records the revisions in force until it is dropped.
 pub struct RevisionWatch {
     started: Instant,
     state: Arc<Mutex<State>>,
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct State {
     nodes: Vec<Arc<NodeProcess>>,
-    seen: Vec<Observation>,
+    observations: Vec<Observation>,
     accepted: Vec<(Revision, Duration)>,
 }
 
@@ -46,24 +46,25 @@
         lock(&self.state).nodes.push(Arc::clone(node));
     }
 
-    /// Notes that a revision was accepted just now.
+    /// Records that a revision was accepted at this moment.
     pub fn accepted(&self, revision: Revision) {
         lock(&self.state).accepted.push((revision, self.started.elapsed()));
     }
 
-    /// Lets go of ended nodes and of what was seen; the newest accepted revision stays due.
+    /// Removes nodes that have ended and discards the observations. The newest accepted revision
+    /// is kept, since nodes still have to put it in force.
     pub fn clear_observations(&self) {
         let mut state = lock(&self.state);
         state.nodes.retain(|node| node.is_alive());
-        state.seen = Vec::new();
+        state.observations = Vec::new();
         let newest = state.accepted.pop();
         state.accepted = newest.into_iter().collect();
     }
 
-    /// Judges what was seen so far.
+    /// Checks that accepted revisions reach all nodes in time and never revert.
     pub fn judge(&self) -> Vec<Violation> {
         let state = lock(&self.state);
-        spreads_and_never_reverts(&state.seen, &state.accepted, BOUND)
+        spreads_and_never_reverts(&state.observations, &state.accepted, CONFIG_TIMEOUT)
     }
 }
 
@@ -79,9 +80,9 @@
         for node in nodes.iter().filter(|node| node.is_alive()) {
             let revision = node.context().in_force().revision;
             let (node, at) = (node.name().clone(), started.elapsed());
-            lock(&state).seen.push(Observation { node, at, revision });
+            lock(&state).observations.push(Observation { node, at, revision });
         }
-        sleep(PAUSE).await;
+        sleep(SAMPLE_INTERVAL).await;
     }
 }
 
--- a/crates/bench/tests/scenario_scripts.rs
+++ b/crates/bench/tests/scenario_scripts.rs
@@ -28,10 +28,10 @@
     }
     if output != text && is_known_red(&path) {
         let name = path.display();
-        let _ = writeln!(std::io::stderr(), "known red: {name}: {:#?}", runner.details());
+        let _ = writeln!(std::io::stderr(), "known red: {name}: {:#?}", runner.violations());
         return;
     }
-    assert_eq!(output, text, "{:#?}", runner.details());
+    assert_eq!(output, text, "{:#?}", runner.violations());
 }
 
 #[test]
