--- a/crates/bench/src/policy/cluster.rs
+++ b/crates/bench/src/policy/cluster.rs
@@ -1,4 +1,4 @@
-//! The VMs of a run: bought by the planner, taken back by the scenario.
+//! The VMs of a simulation: bought by the planner, reclaimed by the scenario.
 
 use std::time::Duration;
 
@@ -13,60 +13,60 @@
 
 use crate::policy::{DeploymentSpec, Fault, Fleet, Outcome, Setup};
 
-/// The price of an hour on demand, in thousandths of a cent.
+/// The hourly price of an on-demand VM, in thousandths of a cent.
 const ON_DEMAND_PRICE: u64 = 400_000;
-/// The prices of an hour of a reclaimable VM, zone by zone.
+/// The hourly prices of a reclaimable VM in each zone, in thousandths of a cent.
 const RECLAIMABLE_PRICES: [u64; 4] = [100_000, 115_000, 130_000, 145_000];
-/// How long a VM takes to start.
-const START: Duration = Duration::from_secs(10);
-/// How long the weight store takes for one load; it serves one after the other.
-const LOAD: Duration = Duration::from_secs(4);
-/// How long before a reclaim its notice comes.
-pub(crate) const NOTICE: Duration = Duration::from_secs(5);
-/// How long a reclaimed zone refuses purchases.
-const ZONE_REFUSES: Duration = Duration::from_secs(30);
-/// How many times slower a slow engine is.
-const SLOWER: u64 = 4;
+/// The time that a VM takes to start.
+const BOOT_TIME: Duration = Duration::from_secs(10);
+/// The time that the weight store takes to load one model; it serves one load at a time.
+const WEIGHT_LOAD_TIME: Duration = Duration::from_secs(4);
+/// The time from the notice of a reclaim to the reclaim.
+pub(crate) const RECLAIM_NOTICE: Duration = Duration::from_secs(5);
+/// The time for which a reclaimed zone refuses purchases of reclaimable VMs.
+const ZONE_REFUSAL_TIME: Duration = Duration::from_secs(30);
+/// The factor by which a slow engine is slower.
+const SLOWDOWN: u64 = 4;
 
-/// A `Machine` is one VM with its engine.
-pub struct Machine {
-    /// The key under which nodes know it.
+/// A `Worker` is one VM with its engine.
+pub struct Worker {
+    /// The key that the schedulers identify it by.
     pub key: WorkerKey,
-    /// Its name.
+    /// The name of its VM.
     pub vm: VmName,
     /// The number of its zone.
     pub zone: usize,
-    /// What it is sold as.
+    /// The market that its VM was bought on.
     pub market: FleetMarket,
     /// Its engine.
     pub engine: EngineModel,
-    /// When its engine serves.
+    /// When its engine starts to serve.
     pub ready_at: Stamp,
-    /// When it is gone, once that is known.
-    pub gone_at: Option<Stamp>,
-    /// Whether it takes no new work.
+    /// When its VM is reclaimed, once the notice has been given.
+    pub terminates_at: Option<Stamp>,
+    /// Whether it is leaving and takes no new work.
     pub leaving: bool,
-    serves: bool,
+    serving: bool,
     slow_since: Option<Stamp>,
 }
 
-/// A `Change` is something that happened to a machine.
+/// A `WorkerEvent` is a change of a worker's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// It serves from now on.
+pub enum WorkerEvent {
+    /// Its engine has started to serve.
     Ready(WorkerKey),
-    /// It is taken back after the notice.
-    Notice(WorkerKey),
-    /// It is to take no new work.
+    /// Its VM will be reclaimed when the notice period ends.
+    ReclaimNotice(WorkerKey),
+    /// The planner drains it: it takes no new work.
     Drain(WorkerKey),
-    /// It is gone.
-    Gone(WorkerKey),
+    /// Its VM was reclaimed.
+    Terminated(WorkerKey),
 }
 
-/// A `Cluster` is the VMs of a run and the planner that buys them.
+/// A `Cluster` is the workers of a simulation and the planner that buys their VMs.
 pub struct Cluster {
-    /// The machines.
-    pub machines: SlotMap<WorkerKey, Machine>,
+    /// The workers, those that do not serve yet included.
+    pub workers: SlotMap<WorkerKey, Worker>,
     zones: [&'static str; 4],
     service: ServiceName,
     prices: [u64; 4],
@@ -74,32 +74,32 @@
     refuses_until: [Stamp; 4],
     refuses_all: bool,
     key_value_down: bool,
-    store_free_at: Stamp,
-    counted_until: Stamp,
+    weight_store_free_at: Stamp,
+    costs_accounted_until: Stamp,
     next_vm: u64,
 }
 
-impl Machine {
-    /// Takes a request in.
+impl Worker {
+    /// Submits a request to the engine.
     pub fn submit(&mut self, now: Stamp, generate: Generate) {
-        let now = self.local(now);
+        let now = self.engine_time(now);
         self.engine.submit(now, generate);
     }
 
-    /// Returns the frames that the engine has written by now.
+    /// Returns the frames that the engine has written since the last call.
     pub fn advance(&mut self, now: Stamp) -> Vec<Output> {
-        if self.engine.next_wake().is_none_or(|wake| self.local(now) < wake) {
+        if self.engine.next_wake().is_none_or(|wake| self.engine_time(now) < wake) {
             return Vec::new();
         }
-        let now = self.local(now);
+        let now = self.engine_time(now);
         self.engine.advance(now)
     }
 
-    /// Returns the load as the engine reports it.
+    /// Returns the load as the engine reports it, with the longer steps of a slow engine.
     pub fn load(&self) -> EngineLoad {
         let mut load = self.engine.load();
         if self.slow_since.is_some() {
-            load.step_micros *= u32::try_from(SLOWER).unwrap_or(1);
+            load.step_micros *= u32::try_from(SLOWDOWN).unwrap_or(1);
         }
         load
     }
@@ -109,23 +109,23 @@
         self.engine.export(request)
     }
 
-    // A slow engine lives in a time that passes more slowly.
-    fn local(&self, now: Stamp) -> Stamp {
+    // A slow engine is modelled by a clock that runs more slowly from the fault on.
+    fn engine_time(&self, now: Stamp) -> Stamp {
         match self.slow_since {
-            Some(since) => Stamp(since.0 + now.0.saturating_sub(since.0) / SLOWER),
+            Some(since) => Stamp(since.0 + now.0.saturating_sub(since.0) / SLOWDOWN),
             None => now,
         }
     }
 }
 
 impl Cluster {
-    /// Returns a cluster whose first machines serve at once.
+    /// Returns a cluster whose initial workers serve at once.
     pub fn new(spec: &DeploymentSpec, setup: &Setup) -> Cluster {
         let service = name::<ServiceName>("model-pool");
         let planner = FleetPlanner::new(FleetOptions::default(), FleetPlan::default());
         let planned = setup.fleet == Fleet::Planned;
         let mut cluster = Cluster {
-            machines: SlotMap::with_key(),
+            workers: SlotMap::with_key(),
             zones: spec.zones,
             service: service.clone(),
             prices: RECLAIMABLE_PRICES,
@@ -133,8 +133,8 @@
             refuses_until: [Stamp(0); 4],
             refuses_all: false,
             key_value_down: false,
-            store_free_at: Stamp(0),
-            counted_until: Stamp(0),
+            weight_store_free_at: Stamp(0),
+            costs_accounted_until: Stamp(0),
             next_vm: 0,
         };
         let now = Stamp(0);
@@ -142,117 +142,120 @@
             planner.handle(now, FleetEvent::Need(service, spec.needed));
             cluster.plan(now, &mut Outcome::default());
         } else {
-            for at in 0..spec.needed {
-                let zone = at as usize % spec.zones.len();
+            for index in 0..spec.needed {
+                let zone = index as usize % spec.zones.len();
                 cluster.start(now, zone, FleetMarket::OnDemand);
             }
         }
-        for machine in cluster.machines.values_mut() {
-            machine.ready_at = now;
+        for worker in cluster.workers.values_mut() {
+            worker.ready_at = now;
         }
-        cluster.store_free_at = now;
+        cluster.weight_store_free_at = now;
         cluster
     }
 
-    /// Lets a fault happen.
-    pub fn strike(&mut self, now: Stamp, fault: Fault) -> Vec<Change> {
-        let mut out = Vec::new();
+    /// Injects a fault and returns the events that it causes.
+    pub fn inject_fault(&mut self, now: Stamp, fault: Fault) -> Vec<WorkerEvent> {
+        let mut events = Vec::new();
         match fault {
             Fault::Reclaim(zone) => {
-                self.refuses_until[zone] = now + ZONE_REFUSES;
-                for machine in self.machines.values_mut() {
-                    let hit = machine.zone == zone && machine.market == FleetMarket::Reclaimable;
-                    if hit && machine.gone_at.is_none() {
-                        machine.gone_at = Some(now + NOTICE);
-                        machine.leaving = true;
-                        out.push(Change::Notice(machine.key));
+                self.refuses_until[zone] = now + ZONE_REFUSAL_TIME;
+                for worker in self.workers.values_mut() {
+                    let reclaimed =
+                        worker.zone == zone && worker.market == FleetMarket::Reclaimable;
+                    if reclaimed && worker.terminates_at.is_none() {
+                        worker.terminates_at = Some(now + RECLAIM_NOTICE);
+                        worker.leaving = true;
+                        events.push(WorkerEvent::ReclaimNotice(worker.key));
                     }
                 }
             }
-            Fault::Refuse => self.refuses_all = true,
-            Fault::Sell => self.refuses_all = false,
+            Fault::RefusePurchases => self.refuses_all = true,
+            Fault::AllowPurchases => self.refuses_all = false,
             Fault::KeyValueDown => self.key_value_down = true,
             Fault::KeyValueUp => self.key_value_down = false,
             Fault::SwapPrices => self.prices.reverse(),
             Fault::Slow => {
-                if let Some(machine) = self.machines.values_mut().next() {
-                    machine.slow_since = Some(now);
+                if let Some(worker) = self.workers.values_mut().next() {
+                    worker.slow_since = Some(now);
                 }
             }
         }
-        out
+        events
     }
 
-    /// Returns what has happened to the machines since the last call.
-    pub fn changes(&mut self, now: Stamp) -> Vec<Change> {
-        let mut out = Vec::new();
-        for machine in self.machines.values_mut() {
-            if !machine.serves && machine.ready_at <= now {
-                machine.serves = true;
-                out.push(Change::Ready(machine.key));
+    /// Returns the workers that have become ready since the last call and those whose VM has been
+    /// reclaimed; the latter are returned until they are removed.
+    pub fn take_events(&mut self, now: Stamp) -> Vec<WorkerEvent> {
+        let mut events = Vec::new();
+        for worker in self.workers.values_mut() {
+            if !worker.serving && worker.ready_at <= now {
+                worker.serving = true;
+                events.push(WorkerEvent::Ready(worker.key));
             }
-            if machine.gone_at.is_some_and(|at| at <= now) {
-                out.push(Change::Gone(machine.key));
+            if worker.terminates_at.is_some_and(|at| at <= now) {
+                events.push(WorkerEvent::Terminated(worker.key));
             }
         }
-        out
+        events
     }
 
-    /// Counts costs and lets the planner act.
-    pub fn plan(&mut self, now: Stamp, outcome: &mut Outcome) -> Vec<Change> {
-        self.count(now, outcome);
+    /// Accounts costs and executes the planner's actions.
+    pub fn plan(&mut self, now: Stamp, outcome: &mut Outcome) -> Vec<WorkerEvent> {
+        self.account_costs(now, outcome);
         let offers = self.offers();
-        let mut out = Vec::new();
-        let Some(mut planner) = self.planner.take() else { return out };
+        let mut events = Vec::new();
+        let Some(mut planner) = self.planner.take() else { return events };
         planner.handle(now, FleetEvent::Offers(offers));
-        for machine in self.machines.values() {
-            if machine.serves {
-                planner.handle(now, FleetEvent::Ready(machine.vm.clone()));
+        for worker in self.workers.values() {
+            if worker.serving {
+                planner.handle(now, FleetEvent::Ready(worker.vm.clone()));
             }
-            if machine.gone_at.is_some() {
-                planner.handle(now, FleetEvent::Leaving(machine.vm.clone()));
+            if worker.terminates_at.is_some() {
+                planner.handle(now, FleetEvent::Leaving(worker.vm.clone()));
             }
         }
-        // Without a saved plan nothing is bought: two holders could otherwise buy twice.
+        // Nothing is bought unless the plan can be saved: without a saved plan, two nodes that
+        // hold the duty one after the other could both buy the same VM.
         if !self.key_value_down {
             for action in planner.handle(now, FleetEvent::Tick) {
                 match action {
                     FleetAction::Buy(slot) => self.buy(now, &mut planner, slot, outcome),
-                    FleetAction::Drain(vm) => out.extend(self.drain(&vm)),
+                    FleetAction::Drain(vm) => events.extend(self.drain(&vm)),
                     FleetAction::Save(_) | FleetAction::ReleaseOrphan(_) => {}
                 }
             }
         }
         self.planner = Some(planner);
-        out
+        events
     }
 
-    /// Removes a machine that is gone or empty.
-    pub fn remove(&mut self, now: Stamp, key: WorkerKey, outcome: &mut Outcome) -> Option<Machine> {
-        self.count(now, outcome);
-        let machine = self.machines.remove(key)?;
+    /// Removes a worker that was reclaimed or has no requests left.
+    pub fn remove(&mut self, now: Stamp, key: WorkerKey, outcome: &mut Outcome) -> Option<Worker> {
+        self.account_costs(now, outcome);
+        let worker = self.workers.remove(key)?;
         if let Some(planner) = &mut self.planner {
-            planner.handle(now, FleetEvent::Removed(machine.vm.clone()));
+            planner.handle(now, FleetEvent::Removed(worker.vm.clone()));
         }
-        outcome.recomputed += machine.engine.totals().1;
-        outcome.computed += machine.engine.totals().0;
-        Some(machine)
+        outcome.recomputed += worker.engine.totals().1;
+        outcome.computed += worker.engine.totals().0;
+        Some(worker)
     }
 
-    /// Returns the price of an hour of a machine.
-    pub fn price(&self, machine: &Machine) -> u64 {
-        match machine.market {
+    /// Returns the hourly price of a worker, in thousandths of a cent.
+    pub fn price(&self, worker: &Worker) -> u64 {
+        match worker.market {
             FleetMarket::OnDemand => ON_DEMAND_PRICE,
-            FleetMarket::Reclaimable => self.prices[machine.zone],
+            FleetMarket::Reclaimable => self.prices[worker.zone],
         }
     }
 
-    fn count(&mut self, now: Stamp, outcome: &mut Outcome) {
-        let hours = now.since(self.counted_until).as_secs_f64() / 3_600.0;
-        self.counted_until = now;
-        for machine in self.machines.values() {
-            outcome.cost += self.price(machine) as f64 * hours;
-            if machine.market == FleetMarket::OnDemand {
+    fn account_costs(&mut self, now: Stamp, outcome: &mut Outcome) {
+        let hours = now.since(self.costs_accounted_until).as_secs_f64() / 3_600.0;
+        self.costs_accounted_until = now;
+        for worker in self.workers.values() {
+            outcome.cost += self.price(worker) as f64 * hours;
+            if worker.market == FleetMarket::OnDemand {
                 outcome.on_demand_hours += hours;
             }
         }
@@ -260,10 +263,10 @@
 
     fn offers(&self) -> Vec<FleetOffer> {
         let mut offers = Vec::new();
-        for (at, zone) in self.zones.iter().enumerate() {
+        for (index, zone) in self.zones.iter().enumerate() {
             let zone = name::<ZoneName>(zone);
             for (market, price) in [
-                (FleetMarket::Reclaimable, self.prices[at]),
+                (FleetMarket::Reclaimable, self.prices[index]),
                 (FleetMarket::OnDemand, ON_DEMAND_PRICE),
             ] {
                 let place = Place { zone: zone.clone(), class: "one-engine".to_owned(), market };
@@ -289,31 +292,32 @@
     fn start(&mut self, now: Stamp, zone: usize, market: FleetMarket) -> VmName {
         self.next_vm += 1;
         let vm = name::<VmName>(&format!("vm-{}", self.next_vm));
-        self.store_free_at = self.store_free_at.max(now + START) + LOAD;
-        let ready_at = self.store_free_at;
+        self.weight_store_free_at =
+            self.weight_store_free_at.max(now + BOOT_TIME) + WEIGHT_LOAD_TIME;
+        let ready_at = self.weight_store_free_at;
         let name = vm.clone();
-        self.machines.insert_with_key(|key| Machine {
+        self.workers.insert_with_key(|key| Worker {
             key,
             vm: name,
             zone,
             market,
             engine: EngineModel::new(DeploymentSpec::engine()),
             ready_at,
-            gone_at: None,
+            terminates_at: None,
             leaving: false,
-            serves: false,
+            serving: false,
             slow_since: None,
         });
         vm
     }
 
-    fn drain(&mut self, vm: &VmName) -> Option<Change> {
-        let machine = self.machines.values_mut().find(|machine| machine.vm == *vm)?;
-        machine.leaving = true;
-        Some(Change::Drain(machine.key))
+    fn drain(&mut self, vm: &VmName) -> Option<WorkerEvent> {
+        let worker = self.workers.values_mut().find(|worker| worker.vm == *vm)?;
+        worker.leaving = true;
+        Some(WorkerEvent::Drain(worker.key))
     }
 
-    /// Returns the service.
+    /// Returns the name of the service that the workers run.
     pub fn service(&self) -> &ServiceName {
         &self.service
     }
--- a/crates/bench/src/policy/mod.rs
+++ b/crates/bench/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! The policy machines under load and faults, driven in virtual time.
+//! Simulations of the policy's state machines under load and faults, in virtual time.
 //!
 //! Engines are the stand-in's state machines, nodes are [`bulrushhall_policy::Scheduler`]s, and the
-//! fleet is bought by a [`bulrushhall_policy::FleetPlanner`]. Nothing sleeps and nothing is drawn
-//! from a clock, so a seed gives the same figures every time.
+//! fleet is bought by a [`bulrushhall_policy::FleetPlanner`]. Nothing sleeps or reads a clock, so
+//! runs with the same seed give the same figures.
 
 mod cluster;
 mod deployment;
@@ -14,10 +14,10 @@
 mod simulation;
 mod workload;
 
-pub use cluster::{Cluster, Machine};
+pub use cluster::{Cluster, Worker};
 pub use deployment::DeploymentSpec;
 pub use outcome::{Outcome, Summary};
-pub use plots::{bars, lines};
+pub use plots::{bar_chart, line_chart};
 pub use report::{ReportOptions, write_report};
 pub use scenario::{Fault, Scenario};
 pub use setup::{Fleet, Recovery, Setup};
--- a/crates/bench/src/policy/plots.rs
+++ b/crates/bench/src/policy/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of the report.
+//! The plots of the report, as SVG files.
 
 use std::{error::Error, path::Path};
 
@@ -7,8 +7,8 @@
 /// The size of a plot in pixels.
 const SIZE: (u32, u32) = (900, 420);
 
-/// Draws one bar for each name and value.
-pub fn bars(
+/// Draws a bar chart with one bar for each name and value.
+pub fn bar_chart(
     path: &Path,
     title: &str,
     unit: &str,
@@ -45,8 +45,8 @@
     Ok(())
 }
 
-/// Draws one line of points for each name.
-pub fn lines(
+/// Draws a line chart with one line for each name.
+pub fn line_chart(
     path: &Path,
     title: &str,
     axes: (&str, &str),
--- a/crates/bench/src/policy/scenario.rs
+++ b/crates/bench/src/policy/scenario.rs
@@ -1,49 +1,49 @@
-//! What goes wrong in a run, and when.
+//! The load and the faults of a simulation.
 
 use bulrushhall_core::Stamp;
 
-/// A `Scenario` is a load and the faults that come with it.
+/// A `Scenario` is a load pattern with a schedule of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// The load swings by 40% and nothing fails.
+    /// The load varies by 40% and nothing fails.
     CalmDay,
     /// The largest team sends eight times its urgent requests for twenty seconds.
     Burst,
-    /// One zone's reclaimable VMs are taken back.
+    /// The reclaimable VMs of one zone are reclaimed.
     OneZone,
-    /// Three zones' reclaimable VMs are taken back, ten seconds apart.
+    /// The reclaimable VMs of three zones are reclaimed, ten seconds apart.
     ThreeZones,
-    /// One zone is taken back and nothing reclaimable is sold for fifty seconds.
+    /// One zone is reclaimed and no reclaimable VM can be bought for fifty seconds.
     RefusedAtStart,
-    /// One zone is taken back while the key-value service is down, so that no plan can be saved.
+    /// One zone is reclaimed while the key-value service is down, so that no plan can be saved.
     KeyValueOutage,
     /// One engine becomes four times slower.
     SlowEngine,
-    /// The cheapest zone becomes the dearest.
+    /// The cheapest zone becomes the most expensive.
     PriceSwap,
 }
 
-/// A `Fault` is something that happens at one moment of a run.
+/// A `Fault` is a change that a scenario injects at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The reclaimable VMs of a zone are taken back.
+    /// The reclaimable VMs of a zone are reclaimed after a notice.
     Reclaim(usize),
-    /// Reclaimable VMs are refused everywhere.
-    Refuse,
-    /// Reclaimable VMs are sold again.
-    Sell,
-    /// No plan can be saved.
+    /// Purchases of reclaimable VMs are refused in all zones.
+    RefusePurchases,
+    /// Purchases of reclaimable VMs succeed again.
+    AllowPurchases,
+    /// The key-value service goes down: no plan can be saved.
     KeyValueDown,
-    /// Plans can be saved again.
+    /// The key-value service is back: plans can be saved.
     KeyValueUp,
     /// An engine becomes four times slower.
     Slow,
-    /// The prices of the zones are turned round.
+    /// The order of the zones' prices is reversed.
     SwapPrices,
 }
 
 impl Scenario {
-    /// Every scenario.
+    /// All scenarios.
     pub const ALL: [Scenario; 8] = [
         Scenario::CalmDay,
         Scenario::Burst,
@@ -55,10 +55,10 @@
         Scenario::PriceSwap,
     ];
 
-    /// The moment of the first fault.
+    /// When the main fault or burst begins; latencies are recorded from then on.
     pub const EVENT: Stamp = Stamp::from_millis(50_000);
 
-    /// Returns the scenario's name.
+    /// Returns the scenario's name in the report.
     pub fn name(self) -> &'static str {
         match self {
             Scenario::CalmDay => "calm day",
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the faults in the order of their moments.
+    /// Returns the faults in order of time.
     pub fn faults(self) -> Vec<(Stamp, Fault)> {
         let at = |seconds: u64| Stamp::from_millis(seconds * 1_000);
         match self {
@@ -84,7 +84,11 @@
                 (at(70), Fault::Reclaim(2)),
             ],
             Scenario::RefusedAtStart => {
-                vec![(at(50), Fault::Refuse), (at(50), Fault::Reclaim(0)), (at(100), Fault::Sell)]
+                vec![
+                    (at(50), Fault::RefusePurchases),
+                    (at(50), Fault::Reclaim(0)),
+                    (at(100), Fault::AllowPurchases),
+                ]
             }
             Scenario::KeyValueOutage => vec![
                 (at(45), Fault::KeyValueDown),
@@ -96,8 +100,8 @@
         }
     }
 
-    /// Returns by how much a team's urgent load is multiplied at a moment.
-    pub fn load(self, now: Stamp, team: usize) -> f64 {
+    /// Returns the factor on a team's average rate of urgent requests at a given time.
+    pub fn load_factor(self, now: Stamp, team: usize) -> f64 {
         let seconds = now.0 as f64 / 1e6;
         match self {
             Scenario::CalmDay => 1.0 + 0.4 * (seconds / 120.0 * std::f64::consts::TAU).sin(),
--- a/crates/bench/src/policy/setup.rs
+++ b/crates/bench/src/policy/setup.rs
@@ -1,33 +1,34 @@
-//! What is compared: how requests are placed, VMs bought and reclaims survived.
+//! The variants that are compared: placement, purchase of VMs, and recovery after reclaims.
 
-/// A `Fleet` tells which VMs the engines run on.
+/// A `Fleet` is how the VMs of the engines are bought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fleet {
-    /// Those that the planner buys.
+    /// The planner buys them.
     Planned,
-    /// The needed number, all on demand.
+    /// The needed number is bought at the start, all on demand.
     OnDemand,
 }
 
-/// A `Recovery` tells how requests of an engine that is taken back go on.
+/// A `Recovery` is how the requests on a reclaimed engine are continued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recovery {
-    /// KV cache is moved where it pays; the rest resumes behind its emitted tokens.
+    /// The KV cache is moved where this costs less than recomputing it; other requests are resumed
+    /// after their emitted tokens.
     Move,
-    /// All resume behind their emitted tokens.
+    /// All requests are resumed after their emitted tokens.
     Resume,
-    /// All start again from the prompt.
+    /// All requests restart from the prompt.
     Restart,
 }
 
-/// A `Setup` is one way of running a deployment.
+/// A `Setup` is one combination of placement, fleet and recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Setup {
     /// The name of the placement.
     pub placement: &'static str,
-    /// The VMs.
+    /// How the VMs are bought.
     pub fleet: Fleet,
-    /// What follows a reclaim.
+    /// How requests continue after a reclaim.
     pub recovery: Recovery,
 }
 
--- a/crates/bench/src/policy/simulation.rs
+++ b/crates/bench/src/policy/simulation.rs
@@ -1,4 +1,4 @@
-//! One run: nodes, engines, faults and requests in virtual time.
+//! One simulation: nodes, engines, faults and requests in virtual time.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -20,7 +20,7 @@
 
 use crate::policy::{
     Arrival, Cluster, DeploymentSpec, Outcome, Recovery, Scenario, Setup, Workload,
-    cluster::{Change, NOTICE},
+    cluster::{RECLAIM_NOTICE, WorkerEvent},
 };
 
 /// The step of virtual time.
@@ -29,47 +29,47 @@
 const ARRIVALS_END: Stamp = Stamp::from_millis(120_000);
 /// When a run ends.
 const END: Stamp = Stamp::from_millis(150_000);
-/// When measuring begins where no fault sets the beginning.
-const WARM: Stamp = Stamp::from_millis(10_000);
-/// The steps between two reports of load.
+/// When latencies are recorded from in scenarios without a fault or burst.
+const WARM_UP_END: Stamp = Stamp::from_millis(10_000);
+/// The number of steps between two load reports of an engine.
 const REPORT_STEPS: u64 = 125;
-/// The steps between two ticks of the schedulers.
+/// The number of steps between two ticks of the schedulers.
 const TICK_STEPS: u64 = 25;
-/// The steps between two looks of the planner.
+/// The number of steps between two runs of the planner.
 const PLAN_STEPS: u64 = 250;
-/// How long after a notice the nodes act on it.
-const NOTICE_SPREAD: Duration = Duration::from_millis(300);
-/// How far load reports lag behind.
-const REPORT_LAG: Duration = Duration::from_millis(500);
-/// How far cache events lag behind.
-const EVENT_LAG: Duration = Duration::from_millis(800);
-/// The part of cache events that are lost.
-const EVENT_LOSS: f64 = 0.05;
-/// The time within which an urgent first token is to come.
-const FIRST_TOKEN: Duration = Duration::from_millis(1_900);
-/// The time within which an urgent answer is to be whole.
+/// The delay until the nodes act on the notice of a reclaim.
+const NOTICE_DELAY: Duration = Duration::from_millis(300);
+/// The delay of load reports.
+const REPORT_DELAY: Duration = Duration::from_millis(500);
+/// The delay of cache events.
+const CACHE_EVENT_DELAY: Duration = Duration::from_millis(800);
+/// The share of cache events that are lost.
+const CACHE_EVENT_LOSS: f64 = 0.05;
+/// The time limit for the first token of an urgent answer.
+const FIRST_TOKEN_DEADLINE: Duration = Duration::from_millis(1_900);
+/// The time limit for a complete urgent answer.
 const URGENT_DEADLINE: Duration = Duration::from_secs(60);
-/// The time within which a patient answer is to be whole.
+/// The time limit for a complete patient answer.
 const PATIENT_DEADLINE: Duration = Duration::from_secs(600);
 
-/// Something that reaches the nodes later.
-enum Late {
+/// A `Delayed` is a message on its way to the nodes or to an engine.
+enum Delayed {
     Report(WorkerKey, LoadReport),
-    Cache(WorkerKey, u64, bool),
-    Act(WorkerKey),
-    Arrive { request: u64, to: WorkerKey },
+    CacheEvent(WorkerKey, u64, bool),
+    Notice(WorkerKey),
+    Submit { request: u64, to: WorkerKey },
 }
 
 struct Request {
     arrival: Arrival,
     node: usize,
     ticket: Option<Ticket>,
-    on: Option<WorkerKey>,
+    worker: Option<WorkerKey>,
     attempt: u32,
     emitted: Vec<String>,
     last_token: Option<Stamp>,
-    first_late: bool,
-    /// When the KV cache has been moved, while the request goes on where it was.
+    first_token_late: bool,
+    /// When the move of the KV cache ends; until then the request runs on its old worker.
     moved_at: Option<Stamp>,
 }
 
@@ -86,8 +86,8 @@
     tickets: Vec<BTreeMap<Ticket, u64>>,
     requests: BTreeMap<u64, Request>,
     next_request: u64,
-    late: BTreeMap<(Stamp, u64), Late>,
-    next_late: u64,
+    delayed: BTreeMap<(Stamp, u64), Delayed>,
+    next_delayed: u64,
     teams: Vec<TeamName>,
     model: ModelName,
     outcome: Outcome,
@@ -99,12 +99,12 @@
     let mut faults: VecDeque<_> = scenario.faults().into();
     while simulation.now < END {
         while let Some((_, fault)) = faults.pop_front_if(|(at, _)| *at <= simulation.now) {
-            let changes = simulation.cluster.strike(simulation.now, fault);
-            simulation.apply(changes);
+            let events = simulation.cluster.inject_fault(simulation.now, fault);
+            simulation.handle_events(events);
         }
         simulation.step();
     }
-    simulation.end()
+    simulation.finish()
 }
 
 impl Simulation {
@@ -132,7 +132,7 @@
             steps: 0,
             spec: spec.clone(),
             setup,
-            measured_from: if faulty { Scenario::EVENT } else { WARM },
+            measured_from: if faulty { Scenario::EVENT } else { WARM_UP_END },
             random: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed),
             workload: Workload::new(spec, scenario, seed).peekable(),
             cluster: Cluster::new(spec, &setup),
@@ -140,8 +140,8 @@
             schedulers,
             requests: BTreeMap::new(),
             next_request: 0,
-            late: BTreeMap::new(),
-            next_late: 0,
+            delayed: BTreeMap::new(),
+            next_delayed: 0,
             teams: names.iter().filter_map(|name| TeamName::new(name).ok()).collect(),
             model: ModelName::new("motif-7b").unwrap_or_else(|_| unreachable!("a valid name")),
             outcome: Outcome::default(),
@@ -149,17 +149,17 @@
     }
 
     fn step(&mut self) {
-        let changes = self.cluster.changes(self.now);
-        self.apply(changes);
+        let events = self.cluster.take_events(self.now);
+        self.handle_events(events);
         while let Some(arrival) = self.workload.next_if(|arrival| arrival.at <= self.now) {
             if arrival.at < ARRIVALS_END {
-                self.arrive(arrival);
+                self.handle_arrival(arrival);
             }
         }
-        self.deliver();
-        let keys: Vec<WorkerKey> = self.cluster.machines.keys().collect();
+        self.deliver_due();
+        let keys: Vec<WorkerKey> = self.cluster.workers.keys().collect();
         for key in keys {
-            let outputs = self.cluster.machines[key].advance(self.now);
+            let outputs = self.cluster.workers[key].advance(self.now);
             for output in outputs {
                 self.output(key, output);
             }
@@ -170,27 +170,27 @@
         if self.steps.is_multiple_of(TICK_STEPS) {
             for node in 0..self.schedulers.len() {
                 let actions = self.schedulers[node].tick(self.now, &mut self.random);
-                self.carry_out(node, actions);
+                self.execute(node, actions);
             }
         }
         if self.steps.is_multiple_of(PLAN_STEPS) {
-            let changes = self.cluster.plan(self.now, &mut self.outcome);
-            self.apply(changes);
+            let events = self.cluster.plan(self.now, &mut self.outcome);
+            self.handle_events(events);
             self.release_empty();
         }
         self.steps += 1;
         self.now = self.now + STEP;
     }
 
-    fn end(mut self) -> Outcome {
-        let keys: Vec<WorkerKey> = self.cluster.machines.keys().collect();
+    fn finish(mut self) -> Outcome {
+        let keys: Vec<WorkerKey> = self.cluster.workers.keys().collect();
         for key in keys {
             self.cluster.remove(self.now, key, &mut self.outcome);
         }
         self.outcome
     }
 
-    fn arrive(&mut self, arrival: Arrival) {
+    fn handle_arrival(&mut self, arrival: Arrival) {
         if arrival.priority == 0 {
             self.outcome.urgent_arrived[arrival.team] += 1;
         }
@@ -203,32 +203,33 @@
                 arrival,
                 node,
                 ticket: None,
-                on: None,
+                worker: None,
                 attempt: 0,
                 emitted: Vec::new(),
                 last_token: None,
-                first_late: false,
+                first_token_late: false,
                 moved_at: None,
             },
         );
         self.submit(number, &[]);
     }
 
-    // Puts a request into its node's queue; one that ran before can't be refused.
+    // Submits a request to its node's scheduler; one that has run before counts as accepted, so it
+    // can't be refused.
     fn submit(&mut self, number: u64, avoid: &[WorkerKey]) {
         let Some(request) = self.requests.get(&number) else { return };
         let Arrival { at, team, priority, ref prompt, prompt_tokens, max_tokens } = request.arrival;
         let emitted = u32::try_from(request.emitted.len()).unwrap_or(u32::MAX);
         let deadline = if priority == 0 { URGENT_DEADLINE } else { PATIENT_DEADLINE };
-        let wait = AdmissionRequest {
+        let admission = AdmissionRequest {
             team: self.teams[team].clone(),
             priority,
             tokens: prompt_tokens + max_tokens,
-            first_token_by: at + FIRST_TOKEN,
+            first_token_by: at + FIRST_TOKEN_DEADLINE,
             deadline: at + deadline,
             accepted: 0 < request.attempt,
         };
-        let req = PlacementRequest {
+        let placement = PlacementRequest {
             prefix: block_hashes(prompt),
             prompt_tokens: prompt_tokens + emitted,
             answer_tokens: max_tokens - emitted,
@@ -236,15 +237,16 @@
             ..PlacementRequest::default()
         };
         let node = request.node;
-        let (ticket, actions) = self.schedulers[node].submit(self.now, wait, req, &mut self.random);
+        let (ticket, actions) =
+            self.schedulers[node].submit(self.now, admission, placement, &mut self.random);
         self.tickets[node].insert(ticket, number);
         if let Some(request) = self.requests.get_mut(&number) {
             request.ticket = Some(ticket);
         }
-        self.carry_out(node, actions);
+        self.execute(node, actions);
     }
 
-    fn carry_out(&mut self, node: usize, actions: Vec<SchedulerAction>) {
+    fn execute(&mut self, node: usize, actions: Vec<SchedulerAction>) {
         for action in actions {
             match action {
                 SchedulerAction::Accept(_) => {}
@@ -276,32 +278,32 @@
 
     fn start(&mut self, node: usize, ticket: Ticket, to: WorkerKey) {
         let Some(&number) = self.tickets[node].get(&ticket) else {
-            // It ended on its old engine while it waited for a new one.
+            // The request finished on its old engine while it waited for a new one.
             let actions = self.schedulers[node].finished(self.now, ticket, &mut self.random);
-            self.carry_out(node, actions);
+            self.execute(node, actions);
             return;
         };
         let Some(request) = self.requests.get(&number) else { return };
-        // The way there; a move of the KV cache has to end first.
-        let way = self.now + self.distance(request.node, to);
-        let at = request.moved_at.map_or(way, |moved| moved.max(way));
-        self.later(at, Late::Arrive { request: number, to });
+        // The request is sent to the engine right away, but arrives only after its KV cache.
+        let arrives_at = self.now + self.latency_to(request.node, to);
+        let at = request.moved_at.map_or(arrives_at, |moved| moved.max(arrives_at));
+        self.schedule(at, Delayed::Submit { request: number, to });
     }
 
-    fn reach_engine(&mut self, number: u64, to: WorkerKey) {
+    fn submit_to_engine(&mut self, number: u64, to: WorkerKey) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         let id = id_of(number);
-        if let Some(from) = request.on.take()
-            && let Some(old) = self.cluster.machines.get_mut(from)
+        if let Some(from) = request.worker.take()
+            && let Some(old) = self.cluster.workers.get_mut(from)
         {
             let blocks = old.export(id);
             old.engine.cancel(id);
-            if let Some(new) = self.cluster.machines.get_mut(to) {
+            if let Some(new) = self.cluster.workers.get_mut(to) {
                 new.engine.import(&blocks);
             }
         }
         request.moved_at = None;
-        request.on = Some(to);
+        request.worker = Some(to);
         let generate = Generate {
             request: id,
             attempt: request.attempt,
@@ -312,8 +314,8 @@
             priority: request.arrival.priority,
             fence: FencingNumber(0),
         };
-        match self.cluster.machines.get_mut(to) {
-            Some(machine) => machine.submit(self.now, generate),
+        match self.cluster.workers.get_mut(to) {
+            Some(worker) => worker.submit(self.now, generate),
             None => self.resume(number, to),
         }
     }
@@ -321,7 +323,7 @@
     fn output(&mut self, key: WorkerKey, output: Output) {
         let number = output.request.sequence;
         let Some(request) = self.requests.get_mut(&number) else { return };
-        if request.on != Some(key) {
+        if request.worker != Some(key) {
             return;
         }
         let urgent = request.arrival.priority == 0;
@@ -332,14 +334,16 @@
                 let (at, last) = (request.arrival.at, request.last_token.replace(self.now));
                 let first = last.is_none();
                 request.emitted.push(token);
-                let way = self.distance(node, key);
+                let latency = self.latency_to(node, key);
                 if measured && first {
-                    self.outcome.first_tokens.saturating_record(micros(self.now.since(at) + way));
+                    self.outcome
+                        .first_tokens
+                        .saturating_record(micros(self.now.since(at) + latency));
                 }
                 if let Some(last) = last.filter(|_| urgent && self.measured_from <= self.now) {
                     self.outcome.gaps.saturating_record(micros(self.now.since(last)));
                 }
-                self.note_first_token(number, first, way);
+                self.note_first_token(number, first, latency);
             }
             Frame::Done(_) => {
                 self.finish_ticket(number);
@@ -349,17 +353,17 @@
                     return;
                 }
                 self.outcome.urgent_finished += 1;
-                let in_time = !request.first_late;
+                let in_time = !request.first_token_late;
                 self.outcome.urgent_in_time[request.arrival.team] += u64::from(in_time);
             }
         }
     }
 
-    fn note_first_token(&mut self, number: u64, first: bool, way: Duration) {
+    fn note_first_token(&mut self, number: u64, first: bool, latency: Duration) {
         let Some(request) = self.requests.get_mut(&number) else { return };
-        let took = micros(self.now.since(request.arrival.at) + way);
+        let took = micros(self.now.since(request.arrival.at) + latency);
         if first && !Outcome::is_in_time(took) {
-            request.first_late = true;
+            request.first_token_late = true;
         }
         let (node, ticket) = (request.node, request.ticket);
         if let Some(ticket) = ticket {
@@ -373,16 +377,18 @@
         let Some(ticket) = request.ticket.take() else { return };
         self.tickets[node].remove(&ticket);
         let actions = self.schedulers[node].finished(self.now, ticket, &mut self.random);
-        self.carry_out(node, actions);
+        self.execute(node, actions);
     }
 
-    fn apply(&mut self, changes: Vec<Change>) {
-        for change in changes {
-            match change {
-                Change::Ready(_) => self.set_workers(),
-                Change::Notice(key) => self.later(self.now + NOTICE_SPREAD, Late::Act(key)),
-                Change::Drain(key) => self.close(key),
-                Change::Gone(key) => self.gone(key),
+    fn handle_events(&mut self, events: Vec<WorkerEvent>) {
+        for event in events {
+            match event {
+                WorkerEvent::Ready(_) => self.set_workers(),
+                WorkerEvent::ReclaimNotice(key) => {
+                    self.schedule(self.now + NOTICE_DELAY, Delayed::Notice(key))
+                }
+                WorkerEvent::Drain(key) => self.close(key),
+                WorkerEvent::Terminated(key) => self.remove_worker(key),
             }
         }
     }
@@ -390,44 +396,44 @@
     fn set_workers(&mut self) {
         for node in 0..self.schedulers.len() {
             let mut views = Vec::new();
-            for machine in self.cluster.machines.values() {
-                if self.now < machine.ready_at {
+            for worker in self.cluster.workers.values() {
+                if self.now < worker.ready_at {
                     continue;
                 }
                 views.push(WorkerView {
-                    key: machine.key,
-                    identity: xxh3_64(machine.vm.as_str().as_bytes()),
-                    open: !machine.leaving,
-                    network_latency: self.distance(node, machine.key),
+                    key: worker.key,
+                    identity: xxh3_64(worker.vm.as_str().as_bytes()),
+                    open: !worker.leaving,
+                    network_latency: self.latency_to(node, worker.key),
                     slots: 24,
-                    price: self.cluster.price(machine),
-                    reclaimable: machine.gone_at.is_none(),
+                    price: self.cluster.price(worker),
+                    reclaimable: worker.terminates_at.is_none(),
                     reclaims_per_hour: 0.5,
                     ..WorkerView::default()
                 });
             }
             let actions = self.schedulers[node].set_workers(self.now, views, &mut self.random);
-            self.carry_out(node, actions);
+            self.execute(node, actions);
         }
     }
 
     fn close(&mut self, key: WorkerKey) {
         for node in 0..self.schedulers.len() {
             let actions = self.schedulers[node].close(self.now, key, &mut self.random);
-            self.carry_out(node, actions);
+            self.execute(node, actions);
         }
     }
 
-    // The nodes have learnt that an engine will be taken back.
+    // Handles the notice of a reclaim on all nodes.
     fn act_on_notice(&mut self, key: WorkerKey) {
         self.close(key);
         if self.setup.recovery != Recovery::Move {
             return;
         }
-        let Some(machine) = self.cluster.machines.get(key) else { return };
-        let step = Duration::from_micros(machine.load().step_micros.into());
-        let on_it = self.requests.iter().filter(|(_, request)| request.on == Some(key));
-        let running: Vec<RunningRequest<u64>> = on_it
+        let Some(worker) = self.cluster.workers.get(key) else { return };
+        let step = Duration::from_micros(worker.load().step_micros.into());
+        let affected = self.requests.iter().filter(|(_, request)| request.worker == Some(key));
+        let running: Vec<RunningRequest<u64>> = affected
             .map(|(number, request)| {
                 let emitted = u32::try_from(request.emitted.len()).unwrap_or(u32::MAX);
                 RunningRequest {
@@ -439,23 +445,23 @@
             })
             .collect();
         let options = MoveOptions { recomputed: self.spec.recomputed, ..MoveOptions::default() };
-        let left = NOTICE.saturating_sub(NOTICE_SPREAD);
-        for (number, fate) in plan_moves(left, &running, &options) {
-            let MoveDecision::Move(span) = fate else { continue };
+        let time_left = RECLAIM_NOTICE.saturating_sub(NOTICE_DELAY);
+        for (number, decision) in plan_moves(time_left, &running, &options) {
+            let MoveDecision::Move(duration) = decision else { continue };
             self.finish_ticket(number);
             if let Some(request) = self.requests.get_mut(&number) {
                 request.attempt += 1;
-                request.moved_at = Some(self.now + span);
+                request.moved_at = Some(self.now + duration);
             }
             self.submit(number, &[key]);
         }
     }
 
-    fn gone(&mut self, key: WorkerKey) {
+    fn remove_worker(&mut self, key: WorkerKey) {
         self.cluster.remove(self.now, key, &mut self.outcome);
-        let on_it = self.requests.iter().filter(|(_, request)| request.on == Some(key));
-        let on_it: Vec<u64> = on_it.map(|(number, _)| *number).collect();
-        for number in on_it {
+        let affected = self.requests.iter().filter(|(_, request)| request.worker == Some(key));
+        let affected: Vec<u64> = affected.map(|(number, _)| *number).collect();
+        for number in affected {
             self.resume(number, key);
         }
         self.set_workers();
@@ -463,8 +469,8 @@
 
     fn resume(&mut self, number: u64, from: WorkerKey) {
         let Some(request) = self.requests.get_mut(&number) else { return };
-        request.on = None;
-        // One whose move was under way already waits for its new place.
+        request.worker = None;
+        // A request whose KV cache was being moved is already queued for a new worker.
         if request.moved_at.take().is_some() {
             return;
         }
@@ -478,21 +484,23 @@
     }
 
     fn release_empty(&mut self) {
-        let leaving = self.cluster.machines.values().filter(|one| one.leaving);
-        let keys: Vec<WorkerKey> =
-            leaving.filter(|one| one.gone_at.is_none()).map(|one| one.key).collect();
+        let leaving = self.cluster.workers.values().filter(|worker| worker.leaving);
+        let keys: Vec<WorkerKey> = leaving
+            .filter(|worker| worker.terminates_at.is_none())
+            .map(|worker| worker.key)
+            .collect();
         for key in keys {
-            if self.requests.values().any(|request| request.on == Some(key)) {
+            if self.requests.values().any(|request| request.worker == Some(key)) {
                 continue;
             }
-            self.gone(key);
+            self.remove_worker(key);
         }
     }
 
     fn report(&mut self) {
-        let mut told = Vec::new();
-        for machine in self.cluster.machines.values_mut() {
-            let load = machine.load();
+        let mut messages = Vec::new();
+        for worker in self.cluster.workers.values_mut() {
+            let load = worker.load();
             let report = LoadReport {
                 running: load.running,
                 waiting: load.waiting,
@@ -500,50 +508,51 @@
                 step: Duration::from_micros(load.step_micros.into()),
                 taken_at: self.now,
             };
-            told.push((REPORT_LAG, Late::Report(machine.key, report)));
-            for (block, held) in machine.engine.take_cache_changes() {
-                if !self.random.random_bool(EVENT_LOSS) {
-                    told.push((EVENT_LAG, Late::Cache(machine.key, block, held)));
+            messages.push((REPORT_DELAY, Delayed::Report(worker.key, report)));
+            for (block, cached) in worker.engine.take_cache_changes() {
+                if !self.random.random_bool(CACHE_EVENT_LOSS) {
+                    messages
+                        .push((CACHE_EVENT_DELAY, Delayed::CacheEvent(worker.key, block, cached)));
                 }
             }
         }
-        for (lag, late) in told {
-            self.later(self.now + lag, late);
+        for (delay, delayed) in messages {
+            self.schedule(self.now + delay, delayed);
         }
     }
 
-    fn later(&mut self, at: Stamp, late: Late) {
-        self.next_late += 1;
-        self.late.insert((at, self.next_late), late);
+    fn schedule(&mut self, at: Stamp, delayed: Delayed) {
+        self.next_delayed += 1;
+        self.delayed.insert((at, self.next_delayed), delayed);
     }
 
-    fn deliver(&mut self) {
-        while let Some(entry) = self.late.first_entry() {
+    fn deliver_due(&mut self) {
+        while let Some(entry) = self.delayed.first_entry() {
             if self.now < entry.key().0 {
                 return;
             }
             match entry.remove() {
-                Late::Report(key, report) => {
+                Delayed::Report(key, report) => {
                     for node in 0..self.schedulers.len() {
                         let scheduler = &mut self.schedulers[node];
                         let actions = scheduler.report(self.now, key, report, &mut self.random);
-                        self.carry_out(node, actions);
+                        self.execute(node, actions);
                     }
                 }
-                Late::Cache(key, block, held) => {
+                Delayed::CacheEvent(key, block, cached) => {
                     for scheduler in &mut self.schedulers {
-                        scheduler.note_cache(key, block, held);
+                        scheduler.note_cache(key, block, cached);
                     }
                 }
-                Late::Act(key) => self.act_on_notice(key),
-                Late::Arrive { request, to } => self.reach_engine(request, to),
+                Delayed::Notice(key) => self.act_on_notice(key),
+                Delayed::Submit { request, to } => self.submit_to_engine(request, to),
             }
         }
     }
 
-    fn distance(&self, node: usize, to: WorkerKey) -> Duration {
-        let zone = self.cluster.machines.get(to).map_or(0, |machine| machine.zone);
-        if node % self.spec.zones.len() == zone { Duration::ZERO } else { self.spec.distance }
+    fn latency_to(&self, node: usize, to: WorkerKey) -> Duration {
+        let zone = self.cluster.workers.get(to).map_or(0, |worker| worker.zone);
+        if node % self.spec.zones.len() == zone { Duration::ZERO } else { self.spec.zone_latency }
     }
 }
 
