--- a/crates/bench/src/spread/checks.rs
+++ b/crates/bench/src/spread/checks.rs
@@ -1,4 +1,4 @@
-//! Checkers of traces, one for each promise.
+//! Checkers that find violations of the promises in a trace, one for each promise.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,33 +9,33 @@
 
 use crate::spread::TraceEvent;
 
-/// A `Violation` is a promise that a trace breaks.
+/// A `Violation` is a broken promise in a trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A member went back to an older revision.
-    RevisionFell {
+    /// A member reverted to an older revision.
+    RevisionReverted {
         /// The member.
         member: usize,
         /// The revision that it had.
         from: Revision,
-        /// The revision that it took.
+        /// The older revision.
         to: Revision,
     },
-    /// A member did not have a revision in force in time.
+    /// A member did not put a revision in force within the time limit.
     RevisionLate {
         /// The member.
         member: usize,
         /// The revision.
         revision: Revision,
     },
-    /// A member saw another as leaving and later as staying.
+    /// A member saw another as leaving and later as no longer leaving.
     LeavingCleared {
         /// The member whose view it is.
         member: usize,
-        /// The other one.
+        /// The member that is viewed.
         other: usize,
     },
-    /// A member sent new work to another that had long been leaving.
+    /// A member sent new work to another that had been leaving for longer than allowed.
     LateWork {
         /// The sender.
         member: usize,
@@ -46,21 +46,22 @@
     },
 }
 
-/// Checks that no member goes back to an older revision.
-pub fn revisions_never_fall(trace: &[TraceEvent]) -> Result<(), Violation> {
+/// Checks that no member reverts to an older revision.
+pub fn revisions_never_revert(trace: &[TraceEvent]) -> Result<(), Violation> {
     let mut newest: BTreeMap<usize, Revision> = BTreeMap::new();
     for event in trace {
         let TraceEvent::InForce { member, revision, .. } = *event else { continue };
-        let had = newest.insert(member, revision).unwrap_or_default();
-        if revision < had {
-            return Err(Violation::RevisionFell { member, from: had, to: revision });
+        let previous = newest.insert(member, revision).unwrap_or_default();
+        if revision < previous {
+            return Err(Violation::RevisionReverted { member, from: previous, to: revision });
         }
     }
     Ok(())
 }
 
-/// Checks that each of `members` has each accepted revision, or a later one, within `bound`.
-pub fn revision_everywhere(
+/// Checks that each of `members` puts each accepted revision, or a later one, in force within
+/// `bound`.
+pub fn revisions_reach_all(
     trace: &[TraceEvent],
     members: impl IntoIterator<Item = usize> + Clone,
     bound: Duration,
@@ -69,8 +70,8 @@
         let TraceEvent::Accepted { at: accepted, revision } = *event else { continue };
         let mut in_time = BTreeSet::new();
         for event in trace {
-            let TraceEvent::InForce { at, member, revision: taken } = *event else { continue };
-            if at <= accepted + bound && revision <= taken {
+            let TraceEvent::InForce { at, member, revision: in_force } = *event else { continue };
+            if at <= accepted + bound && revision <= in_force {
                 in_time.insert(member);
             }
         }
@@ -83,14 +84,14 @@
     Ok(())
 }
 
-/// Checks that no member sees another as staying after it saw it as leaving.
+/// Checks that a member that was seen as leaving is never seen as not leaving by the same observer.
 pub fn leaving_never_cleared(trace: &[TraceEvent]) -> Result<(), Violation> {
-    let mut seen = BTreeSet::new();
+    let mut seen_leaving = BTreeSet::new();
     for event in trace {
-        let TraceEvent::Seen { member, other, leaving, .. } = *event else { continue };
+        let TraceEvent::Observed { member, other, leaving, .. } = *event else { continue };
         if leaving {
-            seen.insert((member, other));
-        } else if seen.contains(&(member, other)) {
+            seen_leaving.insert((member, other));
+        } else if seen_leaving.contains(&(member, other)) {
             return Err(Violation::LeavingCleared { member, other });
         }
     }
@@ -99,13 +100,13 @@
 
 /// Checks that no member sends work to another that has been leaving for longer than `bound`.
 pub fn no_late_work(trace: &[TraceEvent], bound: Duration) -> Result<(), Violation> {
-    let mut left: BTreeMap<usize, Stamp> = BTreeMap::new();
+    let mut leaving_since: BTreeMap<usize, Stamp> = BTreeMap::new();
     for event in trace {
-        if let TraceEvent::Left { at, member } = *event {
-            left.entry(member).or_insert(at);
+        if let TraceEvent::LeavingStarted { at, member } = *event {
+            leaving_since.entry(member).or_insert(at);
         }
         let TraceEvent::Work { at, member, to } = *event else { continue };
-        let Some(since) = left.get(&to) else { continue };
+        let Some(since) = leaving_since.get(&to) else { continue };
         let after = at.since(*since);
         if bound < after {
             return Err(Violation::LateWork { member, to, after });
--- a/crates/bench/src/spread/cluster.rs
+++ b/crates/bench/src/spread/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of members that runs in simulated time.
+//! A cluster of members that runs in virtual time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,146 +16,148 @@
     member::{SimMember, message_bytes, reply_bytes},
 };
 
-/// The pause between two looks of members that send work.
-const WORK_PAUSE: Duration = Duration::from_millis(250);
-/// The shortest simulated time between two looks at whether something holds.
-const LOOK_PAUSE: Duration = Duration::from_millis(2);
-/// The members whose addresses stand in the settings of all.
-const SEEDS: usize = 3;
-/// The pause between two greetings of such a member while it is not known.
-const GREET_PAUSE: Duration = Duration::from_millis(250);
-/// The longest pause between two greetings of a member that does not answer.
-const GREET_PAUSE_MAX: Duration = Duration::from_secs(10);
-
-/// A `Cluster` is a number of members, the messages between them and a clock.
+/// The interval at which members send work.
+const WORK_INTERVAL: Duration = Duration::from_millis(250);
+/// The shortest virtual time between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// The number of seed members, whose addresses are in the settings of all members.
+const SEED_MEMBERS: usize = 3;
+/// The initial interval between join messages to a seed member that is not a known member.
+const JOIN_INTERVAL: Duration = Duration::from_millis(250);
+/// The longest interval between join messages to a seed member that does not answer.
+const MAX_JOIN_INTERVAL: Duration = Duration::from_secs(10);
+
+/// A `Cluster` is members, the messages between them and a virtual clock.
 pub struct Cluster {
     options: SpreadOptions,
     random: Pcg64Mcg,
     members: Vec<SimMember>,
-    by_life: BTreeMap<Incarnation, usize>,
-    queue: BTreeMap<(Stamp, u64), Due>,
-    pushed: u64,
+    by_incarnation: BTreeMap<Incarnation, usize>,
+    queue: BTreeMap<(Stamp, u64), Event>,
+    event_count: u64,
     now: Stamp,
-    cuts: BTreeSet<(usize, usize)>,
+    blocked_links: BTreeSet<(usize, usize)>,
     trace: Vec<TraceEvent>,
-    lives: usize,
+    instances: usize,
 }
 
-enum Due {
+enum Event {
     Tick(usize, Incarnation),
-    Greet(usize, Incarnation, Duration),
+    Join(usize, Incarnation, Duration),
     Work,
     Message { from: usize, to: usize, revision: Revision, gossip: Gossip<Member> },
     Reply { from: usize, to: usize, revision: Revision, replies: Vec<Gossip<Member>> },
-    Fetched { member: usize, life: Incarnation, revision: Revision },
+    Fetched { member: usize, incarnation: Incarnation, revision: Revision },
 }
 
 impl Cluster {
-    /// Returns members that start one after the other and greet an earlier one.
+    /// Returns a cluster whose members start at once and send join messages to the seed members.
     pub fn new(options: SpreadOptions) -> Cluster {
         let mut cluster = Cluster {
             random: Pcg64Mcg::seed_from_u64(options.seed),
             members: Vec::new(),
-            by_life: BTreeMap::new(),
+            by_incarnation: BTreeMap::new(),
             queue: BTreeMap::new(),
-            pushed: 0,
+            event_count: 0,
             now: Stamp(0),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             trace: Vec::new(),
-            lives: 0,
+            instances: 0,
             options,
         };
-        for at in 0..cluster.options.members {
-            let member = cluster.fresh(at);
+        for index in 0..cluster.options.members {
+            let member = cluster.new_member(index);
             cluster.members.push(member);
-            cluster.begin(at);
+            cluster.start_member(index);
         }
         cluster
     }
 
-    /// Returns the present time.
+    /// Returns the current time.
     pub fn now(&self) -> Stamp {
         self.now
     }
 
-    /// Returns what happened; members are told by the number of their life, which is their own
-    /// number as long as none was started anew.
+    /// Returns the trace so far.
+    ///
+    /// It identifies each start of a member by a number of its own. For members that were never
+    /// restarted this is their index.
     pub fn trace(&self) -> &[TraceEvent] {
         &self.trace
     }
 
-    /// Begins to note views of members, and work that they send to each other.
+    /// Starts to trace the members' views of each other, and lets them send work to each other.
     pub fn trace_work(&mut self) {
-        self.push(self.now, Due::Work);
+        self.schedule(self.now, Event::Work);
     }
 
-    /// Lets time pass.
+    /// Advances the time by `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
-        self.run_until(end, |_| false);
+        self.advance_until(end, |_| false);
     }
 
-    /// Lets time pass until `holds`, at most `span`; returns the time it took.
-    pub fn run_while_not(
+    /// Advances the time until `condition` holds, by at most `span`; returns the time it took.
+    pub fn run_until(
         &mut self,
         span: Duration,
-        holds: impl FnMut(&Cluster) -> bool,
+        condition: impl FnMut(&Cluster) -> bool,
     ) -> Option<Duration> {
         let (start, end) = (self.now, self.now + span);
-        self.run_until(end, holds).then(|| self.now.since(start))
+        self.advance_until(end, condition).then(|| self.now.since(start))
     }
 
-    /// Returns the numbers of the members that are alive.
+    /// Returns the indexes of the members that are alive.
     pub fn alive(&self) -> Vec<usize> {
-        (0..self.members.len()).filter(|at| self.members[*at].alive).collect()
+        (0..self.members.len()).filter(|index| self.members[*index].alive).collect()
     }
 
-    /// Returns the numbers of the members of a zone.
-    pub fn of_zone(&self, zone: usize) -> Vec<usize> {
-        (0..self.members.len()).filter(|at| self.members[*at].zone == zone).collect()
+    /// Returns the indexes of the members of a zone.
+    pub fn members_of_zone(&self, zone: usize) -> Vec<usize> {
+        (0..self.members.len()).filter(|index| self.members[*index].zone == zone).collect()
     }
 
-    /// Returns the region that a zone lies in.
+    /// Returns the region of a zone.
     pub fn region_of(&self, zone: usize) -> usize {
         zone % self.options.regions
     }
 
     /// Returns the zone of a member.
-    pub fn zone_of(&self, at: usize) -> usize {
-        self.members[at].zone
+    pub fn zone_of(&self, index: usize) -> usize {
+        self.members[index].zone
     }
 
-    /// Returns how many other members one believes to be alive.
-    pub fn believed(&self, at: usize) -> usize {
-        self.members[at].machine.members().count()
+    /// Returns how many other members a member considers alive, suspected ones included.
+    pub fn member_count(&self, index: usize) -> usize {
+        self.members[index].membership.members().count()
     }
 
-    /// Returns how many other members one suspects.
-    pub fn suspects(&self, at: usize) -> usize {
-        self.members[at].machine.members().filter(|view| view.suspected).count()
+    /// Returns how many other members a member suspects.
+    pub fn suspected_count(&self, index: usize) -> usize {
+        self.members[index].membership.members().filter(|view| view.suspected).count()
     }
 
-    /// Returns the records that a member holds.
-    pub fn held(&self, at: usize) -> usize {
-        self.members[at].machine.record_count()
+    /// Returns the number of records that a member keeps, tombstones included.
+    pub fn record_count(&self, index: usize) -> usize {
+        self.members[index].membership.record_count()
     }
 
-    /// Returns whether a member believes another one's present life to be alive.
-    pub fn believes(&self, at: usize, other: usize) -> bool {
-        let life = self.members[other].sender.incarnation;
-        self.members[at].machine.members().any(|view| view.record.incarnation == life)
+    /// Returns whether a member considers the current incarnation of another alive.
+    pub fn considers_alive(&self, index: usize, other: usize) -> bool {
+        let incarnation = self.members[other].sender.incarnation;
+        self.members[index].membership.members().any(|view| view.record.incarnation == incarnation)
     }
 
-    /// Returns whether a member knows that another one is leaving.
-    pub fn knows_leaving(&self, at: usize, other: usize) -> bool {
-        let life = self.members[other].sender.incarnation;
-        let record = self.members[at].machine.record(life);
+    /// Returns whether a member has a record of another as leaving or dead.
+    pub fn knows_leaving(&self, index: usize, other: usize) -> bool {
+        let incarnation = self.members[other].sender.incarnation;
+        let record = self.members[index].membership.record(incarnation);
         record.is_some_and(|record| record.condition != Condition::Alive)
     }
 
     /// Returns the revision that a member has in force.
-    pub fn revision(&self, at: usize) -> Revision {
-        self.members[at].sender.revision
+    pub fn revision(&self, index: usize) -> Revision {
+        self.members[index].sender.revision
     }
 
     /// Returns the traffic of each member since the last call.
@@ -163,94 +165,94 @@
         self.members.iter_mut().map(|member| std::mem::take(&mut member.traffic)).collect()
     }
 
-    /// Returns the processor time of each member's machine and codec since the last call.
-    pub fn take_busy(&mut self) -> Vec<Duration> {
-        self.members.iter_mut().map(|member| std::mem::take(&mut member.busy)).collect()
+    /// Returns the processor time of each member's state machine and codec since the last call.
+    pub fn take_processor_time(&mut self) -> Vec<Duration> {
+        self.members.iter_mut().map(|member| std::mem::take(&mut member.processor_time)).collect()
     }
 
-    /// Lets a member begin to leave.
-    pub fn leave(&mut self, at: usize) {
-        let life = self.members[at].life;
-        self.trace.push(TraceEvent::Left { at: self.now, member: life });
-        let member = &mut self.members[at];
-        let sends = member.machine.leave(&mut member.random);
-        self.send_all(at, sends);
+    /// Makes a member leave.
+    pub fn leave(&mut self, index: usize) {
+        let instance = self.members[index].instance;
+        self.trace.push(TraceEvent::LeavingStarted { at: self.now, member: instance });
+        let member = &mut self.members[index];
+        let sends = member.membership.leave(&mut member.random);
+        self.send_all(index, sends);
     }
 
-    /// Ends a member without a word.
-    pub fn kill(&mut self, at: usize) {
-        self.members[at].alive = false;
+    /// Kills a member without a message to the others.
+    pub fn kill(&mut self, index: usize) {
+        self.members[index].alive = false;
     }
 
-    /// Starts a new life of a member.
-    pub fn restart(&mut self, at: usize) {
-        self.members[at] = self.fresh(at);
-        self.begin(at);
+    /// Starts a new incarnation of a member.
+    pub fn restart(&mut self, index: usize) {
+        self.members[index] = self.new_member(index);
+        self.start_member(index);
     }
 
-    /// Stops a member for a while; what is sent to it arrives when it wakes.
-    pub fn pause(&mut self, at: usize, span: Duration) {
-        self.members[at].paused_until = self.now + span;
+    /// Pauses a member for `span`; messages to it are handled after the pause.
+    pub fn pause(&mut self, index: usize, span: Duration) {
+        self.members[index].paused_until = self.now + span;
     }
 
-    /// Lets nothing pass from one member to another.
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+    /// Blocks messages from one member to another.
+    pub fn block(&mut self, from: usize, to: usize) {
+        self.blocked_links.insert((from, to));
     }
 
-    /// Lets nothing pass between two groups of members.
-    pub fn cut_between(&mut self, some: &[usize], others: &[usize]) {
+    /// Blocks messages between two groups of members, in both directions.
+    pub fn partition(&mut self, some: &[usize], others: &[usize]) {
         for a in some {
             for b in others {
-                self.cuts.insert((*a, *b));
-                self.cuts.insert((*b, *a));
+                self.blocked_links.insert((*a, *b));
+                self.blocked_links.insert((*b, *a));
             }
         }
     }
 
-    /// Lets everything pass again.
+    /// Unblocks all messages.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked_links.clear();
     }
 
-    /// Accepts a revision and lets the given members learn it from the service.
+    /// Accepts a revision; the members `watchers` receive it from the key-value service at once.
     pub fn accept(&mut self, revision: Revision, watchers: &[usize]) {
         self.trace.push(TraceEvent::Accepted { at: self.now, revision });
-        for at in watchers {
-            self.put_in_force(*at, revision);
+        for index in watchers {
+            self.put_in_force(*index, revision);
         }
     }
 
-    fn fresh(&mut self, at: usize) -> SimMember {
-        let life = self.lives;
-        self.lives += 1;
-        let zone = at % self.options.zones;
-        let membership = self.options.membership();
-        SimMember::new(at, life, zone, self.now, membership, self.options.seed)
+    fn new_member(&mut self, index: usize) -> SimMember {
+        let instance = self.instances;
+        self.instances += 1;
+        let zone = index % self.options.zones;
+        let options = self.options.membership_options();
+        SimMember::new(index, instance, zone, self.now, options, self.options.seed)
     }
 
-    fn begin(&mut self, at: usize) {
-        let life = self.members[at].sender.incarnation;
-        self.by_life.insert(life, at);
-        self.push(self.now, Due::Tick(at, life));
-        self.push(self.now, Due::Greet(at, life, GREET_PAUSE));
+    fn start_member(&mut self, index: usize) {
+        let incarnation = self.members[index].sender.incarnation;
+        self.by_incarnation.insert(incarnation, index);
+        self.schedule(self.now, Event::Tick(index, incarnation));
+        self.schedule(self.now, Event::Join(index, incarnation, JOIN_INTERVAL));
     }
 
-    fn run_until(&mut self, end: Stamp, mut holds: impl FnMut(&Cluster) -> bool) -> bool {
-        let mut looked = Stamp(0);
+    fn advance_until(&mut self, end: Stamp, mut condition: impl FnMut(&Cluster) -> bool) -> bool {
+        let mut last_check = Stamp(0);
         while let Some(entry) = self.queue.first_entry() {
-            let &(at, _) = entry.key();
-            if end < at {
+            let &(time, _) = entry.key();
+            if end < time {
                 break;
             }
-            let due = entry.remove();
-            self.now = at;
-            self.happen(due);
-            if self.now.since(looked) < LOOK_PAUSE {
+            let event = entry.remove();
+            self.now = time;
+            self.handle(event);
+            if self.now.since(last_check) < CHECK_INTERVAL {
                 continue;
             }
-            looked = self.now;
-            if holds(self) {
+            last_check = self.now;
+            if condition(self) {
                 return true;
             }
         }
@@ -258,120 +260,121 @@
         false
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Tick(at, life) => self.tick(at, life),
-            Due::Greet(at, life, pause) => self.greet(at, life, pause),
-            Due::Work => self.work(),
-            Due::Fetched { member, life, revision } => {
-                if self.is_life(member, life) {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Tick(index, incarnation) => self.tick(index, incarnation),
+            Event::Join(index, incarnation, pause) => self.join(index, incarnation, pause),
+            Event::Work => self.send_work(),
+            Event::Fetched { member, incarnation, revision } => {
+                if self.is_current(member, incarnation) {
                     self.put_in_force(member, revision);
                 }
             }
-            Due::Message { from, to, revision, gossip } => {
+            Event::Message { from, to, revision, gossip } => {
                 self.receive(from, to, revision, gossip);
             }
-            Due::Reply { from, to, revision, replies } => {
-                if let Some(wakes) = self.asleep(to) {
-                    self.push(wakes, Due::Reply { from, to, revision, replies });
+            Event::Reply { from, to, revision, replies } => {
+                if let Some(resumes_at) = self.pause_end(to) {
+                    self.schedule(resumes_at, Event::Reply { from, to, revision, replies });
                     return;
                 }
                 self.members[to].traffic.received +=
                     reply_bytes(&self.members[from].sender, &replies);
-                self.hear(to, from, revision);
+                self.learn_revision(to, from, revision);
                 for gossip in replies {
-                    let sends = self.take(to, from, gossip);
+                    let sends = self.deliver(to, from, gossip);
                     self.send_all(to, sends);
                 }
             }
         }
     }
 
-    fn tick(&mut self, at: usize, life: Incarnation) {
-        if !self.is_life(at, life) {
+    fn tick(&mut self, index: usize, incarnation: Incarnation) {
+        if !self.is_current(index, incarnation) {
             return;
         }
-        if let Some(wakes) = self.asleep(at) {
-            self.push(wakes, Due::Tick(at, life));
+        if let Some(resumes_at) = self.pause_end(index) {
+            self.schedule(resumes_at, Event::Tick(index, incarnation));
             return;
         }
         let now = self.now;
-        let member = &mut self.members[at];
+        let member = &mut self.members[index];
         let started = Instant::now();
-        let sends = member.machine.tick(now, &mut member.random);
-        member.busy += started.elapsed();
-        let next = member.machine.next_round();
-        self.push(next, Due::Tick(at, life));
-        self.send_all(at, sends);
+        let sends = member.membership.tick(now, &mut member.random);
+        member.processor_time += started.elapsed();
+        let next = member.membership.next_round();
+        self.schedule(next, Event::Tick(index, incarnation));
+        self.send_all(index, sends);
     }
 
-    // As the daemon does: addresses from the settings that are no member's are greeted for ever.
-    fn greet(&mut self, at: usize, life: Incarnation, pause: Duration) {
-        if !self.is_life(at, life) {
+    // As in the daemon, join messages are sent without end to seed addresses that belong to no
+    // known member.
+    fn join(&mut self, index: usize, incarnation: Incarnation, pause: Duration) {
+        if !self.is_current(index, incarnation) {
             return;
         }
         let mut missing = false;
-        for seed in 0..SEEDS.min(self.members.len()) {
-            if seed == at || !self.members[seed].alive || self.believes(at, seed) {
+        for seed in 0..SEED_MEMBERS.min(self.members.len()) {
+            if seed == index || !self.members[seed].alive || self.considers_alive(index, seed) {
                 continue;
             }
             missing = true;
-            let gossip = self.members[at].machine.join_message();
-            self.post(at, seed, gossip);
+            let gossip = self.members[index].membership.join_message();
+            self.send(index, seed, gossip);
         }
-        let pause = if missing { (pause * 2).min(GREET_PAUSE_MAX) } else { GREET_PAUSE };
-        self.push(self.now + pause, Due::Greet(at, life, pause));
+        let pause = if missing { (pause * 2).min(MAX_JOIN_INTERVAL) } else { JOIN_INTERVAL };
+        self.schedule(self.now + pause, Event::Join(index, incarnation, pause));
     }
 
-    // Each member sends work to a member that it believes to take some.
-    fn work(&mut self) {
-        for at in self.alive() {
-            if self.asleep(at).is_some() {
+    // Each member traces its views of the others and sends work to one that it sees as not leaving.
+    fn send_work(&mut self) {
+        for index in self.alive() {
+            if self.pause_end(index).is_some() {
                 continue;
             }
             let mut open = Vec::new();
-            let member = self.members[at].life;
-            for view in self.members[at].machine.members() {
-                let Some(other) = self.by_life.get(&view.record.incarnation).copied() else {
+            let member = self.members[index].instance;
+            for view in self.members[index].membership.members() {
+                let Some(other) = self.by_incarnation.get(&view.record.incarnation).copied() else {
                     continue;
                 };
-                if !self.is_life(other, view.record.incarnation) {
+                if !self.is_current(other, view.record.incarnation) {
                     continue;
                 }
                 let leaving = view.record.condition != Condition::Alive;
                 if !leaving {
-                    open.push(self.members[other].life);
+                    open.push(self.members[other].instance);
                 }
-                let other = self.members[other].life;
-                self.trace.push(TraceEvent::Seen { at: self.now, member, other, leaving });
+                let other = self.members[other].instance;
+                self.trace.push(TraceEvent::Observed { at: self.now, member, other, leaving });
             }
             if let Some(to) = open.choose(&mut self.random).copied() {
                 self.trace.push(TraceEvent::Work { at: self.now, member, to });
             }
         }
-        self.push(self.now + WORK_PAUSE, Due::Work);
+        self.schedule(self.now + WORK_INTERVAL, Event::Work);
     }
 
     fn send_all(&mut self, from: usize, sends: Vec<Outgoing<Member>>) {
         for send in sends {
-            let Some(to) = self.by_life.get(&send.to).copied() else { continue };
+            let Some(to) = self.by_incarnation.get(&send.to).copied() else { continue };
             if self.members[to].sender.incarnation == send.to {
-                self.post(from, to, send.gossip);
+                self.send(from, to, send.gossip);
             }
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, gossip: Gossip<Member>) {
-        let life = self.members[to].sender.incarnation;
+    fn send(&mut self, from: usize, to: usize, gossip: Gossip<Member>) {
+        let incarnation = self.members[to].sender.incarnation;
         let started = Instant::now();
-        let bytes = message_bytes(&self.members[from].sender, life, &gossip);
+        let bytes = message_bytes(&self.members[from].sender, incarnation, &gossip);
         let member = &mut self.members[from];
-        member.busy += started.elapsed();
+        member.processor_time += started.elapsed();
         member.traffic.messages += 1;
         member.traffic.sent += bytes;
         let revision = member.sender.revision;
-        if let Some(at) = self.arrival(from, to) {
-            self.push(at, Due::Message { from, to, revision, gossip });
+        if let Some(time) = self.arrival_time(from, to) {
+            self.schedule(time, Event::Message { from, to, revision, gossip });
         }
     }
 
@@ -379,31 +382,31 @@
         if !self.members[to].alive {
             return;
         }
-        if let Some(wakes) = self.asleep(to) {
-            self.push(wakes, Due::Message { from, to, revision, gossip });
+        if let Some(resumes_at) = self.pause_end(to) {
+            self.schedule(resumes_at, Event::Message { from, to, revision, gossip });
             return;
         }
-        let life = self.members[to].sender.incarnation;
+        let incarnation = self.members[to].sender.incarnation;
         self.members[to].traffic.received +=
-            message_bytes(&self.members[from].sender, life, &gossip);
-        self.hear(to, from, revision);
+            message_bytes(&self.members[from].sender, incarnation, &gossip);
+        self.learn_revision(to, from, revision);
         let sender = self.members[from].sender.incarnation;
-        let sends = self.take(to, from, gossip);
+        let sends = self.deliver(to, from, gossip);
         let (back, others): (Vec<_>, Vec<_>) =
             sends.into_iter().partition(|send| send.to == sender);
         self.send_all(to, others);
         let replies: Vec<Gossip<Member>> = back.into_iter().map(|send| send.gossip).collect();
         let started = Instant::now();
         let bytes = reply_bytes(&self.members[to].sender, &replies);
-        self.members[to].busy += started.elapsed();
+        self.members[to].processor_time += started.elapsed();
         self.members[to].traffic.sent += bytes;
         let revision = self.members[to].sender.revision;
-        if let Some(at) = self.arrival(to, from) {
-            self.push(at, Due::Reply { from: to, to: from, revision, replies });
+        if let Some(time) = self.arrival_time(to, from) {
+            self.schedule(time, Event::Reply { from: to, to: from, revision, replies });
         }
     }
 
-    fn take(&mut self, to: usize, from: usize, gossip: Gossip<Member>) -> Vec<Outgoing<Member>> {
+    fn deliver(&mut self, to: usize, from: usize, gossip: Gossip<Member>) -> Vec<Outgoing<Member>> {
         let sender = self.members[from].sender.incarnation;
         let now = self.now;
         let member = &mut self.members[to];
@@ -411,56 +414,57 @@
             return Vec::new();
         }
         let started = Instant::now();
-        let sends = member.machine.receive(now, sender, gossip, &mut member.random);
-        member.busy += started.elapsed();
+        let sends = member.membership.receive(now, sender, gossip, &mut member.random);
+        member.processor_time += started.elapsed();
         sends
     }
 
-    // A member that hears of a newer revision fetches it from the one that told: there and back.
-    fn hear(&mut self, at: usize, teller: usize, revision: Revision) {
-        if revision <= self.members[at].sender.revision {
+    // A member that receives a newer revision number fetches the revision from the sender, which
+    // takes a round trip.
+    fn learn_revision(&mut self, index: usize, source: usize, revision: Revision) {
+        if revision <= self.members[index].sender.revision {
             return;
         }
-        let there = self.arrival(at, teller);
-        let back = self.arrival(teller, at);
-        let (Some(there), Some(back)) = (there, back) else { return };
-        let life = self.members[at].sender.incarnation;
-        let arrives = there + back.since(self.now);
-        self.push(arrives, Due::Fetched { member: at, life, revision });
+        let asked_at = self.arrival_time(index, source);
+        let replied_at = self.arrival_time(source, index);
+        let (Some(asked_at), Some(replied_at)) = (asked_at, replied_at) else { return };
+        let incarnation = self.members[index].sender.incarnation;
+        let arrives = asked_at + replied_at.since(self.now);
+        self.schedule(arrives, Event::Fetched { member: index, incarnation, revision });
     }
 
-    fn put_in_force(&mut self, at: usize, revision: Revision) {
-        if revision <= self.members[at].sender.revision {
+    fn put_in_force(&mut self, index: usize, revision: Revision) {
+        if revision <= self.members[index].sender.revision {
             return;
         }
-        self.members[at].sender.revision = revision;
-        let member = self.members[at].life;
+        self.members[index].sender.revision = revision;
+        let member = self.members[index].instance;
         self.trace.push(TraceEvent::InForce { at: self.now, member, revision });
     }
 
-    // When a message arrives, unless it is lost.
-    fn arrival(&mut self, from: usize, to: usize) -> Option<Stamp> {
+    // Returns when a message arrives, or `None` if it is lost or blocked.
+    fn arrival_time(&mut self, from: usize, to: usize) -> Option<Stamp> {
         let lost = self.random.random_bool(self.options.loss);
-        if lost || self.cuts.contains(&(from, to)) {
+        if lost || self.blocked_links.contains(&(from, to)) {
             return None;
         }
-        let regions = [from, to].map(|at| self.region_of(self.members[at].zone));
-        let near = regions[0] == regions[1];
-        let delay = if near { self.options.near_delay } else { self.options.far_delay };
+        let regions = [from, to].map(|index| self.region_of(self.members[index].zone));
+        let same_region = regions[0] == regions[1];
+        let delay = if same_region { self.options.near_delay } else { self.options.far_delay };
         Some(self.now + delay.mul_f64(self.random.random_range(1.0..1.5)))
     }
 
-    fn asleep(&self, at: usize) -> Option<Stamp> {
-        let wakes = self.members[at].paused_until;
-        (self.now < wakes).then_some(wakes)
+    fn pause_end(&self, index: usize) -> Option<Stamp> {
+        let resumes_at = self.members[index].paused_until;
+        (self.now < resumes_at).then_some(resumes_at)
     }
 
-    fn is_life(&self, at: usize, life: Incarnation) -> bool {
-        self.members[at].alive && self.members[at].sender.incarnation == life
+    fn is_current(&self, index: usize, incarnation: Incarnation) -> bool {
+        self.members[index].alive && self.members[index].sender.incarnation == incarnation
     }
 
-    fn push(&mut self, at: Stamp, due: Due) {
-        self.pushed += 1;
-        self.queue.insert((at, self.pushed), due);
+    fn schedule(&mut self, time: Stamp, event: Event) {
+        self.event_count += 1;
+        self.queue.insert((time, self.event_count), event);
     }
 }
--- a/crates/bench/src/spread/member.rs
+++ b/crates/bench/src/spread/member.rs
@@ -1,4 +1,4 @@
-//! One member of a cluster, with the traffic that it causes.
+//! A simulated member of a cluster, and the size of its messages.
 
 use std::time::Duration;
 
@@ -11,58 +11,59 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// The bytes of an HTTP request's head: method, path, host and length.
-const REQUEST_HEAD: u64 = 70;
-/// The bytes of an HTTP reply's head: status, length and date.
-const REPLY_HEAD: u64 = 76;
+/// The bytes of the head of an HTTP request: method, path, host and content length.
+const REQUEST_HEAD_BYTES: u64 = 70;
+/// The bytes of the head of an HTTP response: status, content length and date.
+const REPLY_HEAD_BYTES: u64 = 76;
 
-/// `Traffic` counts what a member sent and received.
+/// A `Traffic` is the number of messages and bytes that a member sent and received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// The messages that it sent, replies left out.
+    /// The messages that it sent, replies excluded.
     pub messages: u64,
-    /// The bytes of encoded messages and replies that it sent.
+    /// The bytes of messages and replies that it sent, heads included.
     pub sent: u64,
-    /// The bytes of encoded messages and replies that it received.
+    /// The bytes of messages and replies that it received, heads included.
     pub received: u64,
 }
 
-/// A `SimMember` is one member of a cluster.
+/// A `SimMember` is one incarnation of a member of a cluster.
 pub(crate) struct SimMember {
-    pub(crate) machine: Membership<Member>,
+    pub(crate) membership: Membership<Member>,
     pub(crate) random: Pcg64Mcg,
     pub(crate) sender: Sender,
     pub(crate) zone: usize,
-    pub(crate) life: usize,
+    pub(crate) instance: usize,
     pub(crate) alive: bool,
     pub(crate) paused_until: Stamp,
     pub(crate) traffic: Traffic,
-    pub(crate) busy: Duration,
+    pub(crate) processor_time: Duration,
 }
 
-/// Returns the bytes of a message as it is sent.
+/// Returns the bytes of a message on the wire.
 pub fn message_bytes(from: &Sender, to: Incarnation, gossip: &Gossip<Member>) -> u64 {
     let body = Spread { gossip: gossip.clone() };
-    REQUEST_HEAD + encoded(&Envelope { from: from.clone(), to: Some(to), body })
+    REQUEST_HEAD_BYTES + encoded_len(&Envelope { from: from.clone(), to: Some(to), body })
 }
 
-/// Returns the bytes of a reply as it is sent.
+/// Returns the bytes of a reply on the wire.
 pub fn reply_bytes(from: &Sender, replies: &[Gossip<Member>]) -> u64 {
-    REPLY_HEAD + encoded(&Envelope { from: from.clone(), to: None, body: replies.to_vec() })
+    REPLY_HEAD_BYTES
+        + encoded_len(&Envelope { from: from.clone(), to: None, body: replies.to_vec() })
 }
 
 impl SimMember {
     pub(crate) fn new(
-        at: usize,
-        life: usize,
+        index: usize,
+        instance: usize,
         zone: usize,
         now: Stamp,
         options: MembershipOptions,
         seed: u64,
     ) -> SimMember {
-        let number = life as u64 + 1;
+        let number = instance as u64 + 1;
         let incarnation = Incarnation(0x6_4000_0000_0000 + number * 1_000_003);
-        let own = member(at, zone, incarnation);
+        let own = member(index, zone, incarnation);
         let record = Record {
             node: own.node.clone(),
             zone: own.zone.clone(),
@@ -72,25 +73,25 @@
             value: own.clone(),
         };
         SimMember {
-            machine: Membership::new(now, record, options),
+            membership: Membership::new(now, record, options),
             random: Pcg64Mcg::seed_from_u64(seed ^ (number << 20)),
             sender: Sender { node: own.node, incarnation, revision: Revision(0) },
             zone,
-            life,
+            instance,
             alive: true,
             paused_until: Stamp(0),
             traffic: Traffic::default(),
-            busy: Duration::ZERO,
+            processor_time: Duration::ZERO,
         }
     }
 }
 
-fn member(at: usize, zone: usize, incarnation: Incarnation) -> Member {
-    let port = u16::try_from(10_000 + at).unwrap_or_default();
+fn member(index: usize, zone: usize, incarnation: Incarnation) -> Member {
+    let port = u16::try_from(10_000 + index).unwrap_or_default();
     Member {
-        node: valid(NodeName::new(format!("entry-{at}"))),
+        node: valid(NodeName::new(format!("entry-{index}"))),
         incarnation,
-        vm: valid(VmName::new(format!("vm-entry-{at}"))),
+        vm: valid(VmName::new(format!("vm-entry-{index}"))),
         zone: valid(ZoneName::new(format!("zone-{zone}"))),
         callers: ([10, 0, 0, 1], port).into(),
         peers: ([10, 0, 0, 2], port).into(),
@@ -104,6 +105,6 @@
     name.unwrap_or_else(|_| unreachable!("a valid name"))
 }
 
-fn encoded(value: &impl serde::Serialize) -> u64 {
+fn encoded_len(value: &impl serde::Serialize) -> u64 {
     rmp_serde::to_vec_named(value).map_or(0, |bytes| bytes.len() as u64)
 }
--- a/crates/bench/src/spread/mod.rs
+++ b/crates/bench/src/spread/mod.rs
@@ -1,4 +1,5 @@
-//! Many real membership machines in one process, with delay, loss and cuts between them.
+//! Simulations of clusters of real [`Membership`](bulrushhall_coord::Membership) state machines
+//! with delay, loss and blocked links between them.
 
 mod checks;
 mod cluster;
@@ -8,10 +9,10 @@
 mod trace;
 
 pub use checks::{
-    Violation, leaving_never_cleared, no_late_work, revision_everywhere, revisions_never_fall,
+    Violation, leaving_never_cleared, no_late_work, revisions_never_revert, revisions_reach_all,
 };
 pub use cluster::Cluster;
-pub use measure::{Measured, measure};
+pub use measure::{Measurement, measure};
 pub use member::{Traffic, message_bytes, reply_bytes};
 pub use options::{Shape, SpreadOptions};
 pub use trace::TraceEvent;
--- a/crates/bench/src/spread/options.rs
+++ b/crates/bench/src/spread/options.rs
@@ -1,30 +1,30 @@
-//! The size of a cluster of members and the faults between them.
+//! The options of a simulated cluster.
 
 use std::time::Duration;
 
 use bulrushhall_coord::MembershipOptions;
 
-/// A `Shape` tells how heartbeats are spread.
+/// A `Shape` is the division of the members into domains for heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
     /// All members form one domain.
     Flat,
     /// Each availability zone is a domain.
     ByZone,
-    /// As the daemon does it: flat while there are few members.
+    /// As in the daemon: one domain up to a number of members, then one for each zone.
     Daemon,
 }
 
-/// `SpreadOptions` size a cluster of members.
+/// `SpreadOptions` are the size of a cluster, its network and the lengths of a measurement.
 #[derive(Clone, Debug)]
 pub struct SpreadOptions {
-    /// The members, spread evenly over the zones.
+    /// The number of members, which are distributed evenly over the zones.
     pub members: usize,
-    /// The availability zones.
+    /// The number of availability zones.
     pub zones: usize,
-    /// The regions, each with a part of the zones.
+    /// The number of regions, over which the zones are distributed.
     pub regions: usize,
-    /// How heartbeats are spread.
+    /// The domains for heartbeats.
     pub shape: Shape,
     /// The share of messages and replies that are lost.
     pub loss: f64,
@@ -32,11 +32,11 @@
     pub near_delay: Duration,
     /// The one-way delay between regions.
     pub far_delay: Duration,
-    /// The time in which the members find together before they are measured.
-    pub warm: Duration,
-    /// The time over which the cost is counted.
+    /// The time for the membership to converge before the measurement.
+    pub warm_up: Duration,
+    /// The time over which messages, bytes and processor time are counted.
     pub counted: Duration,
-    /// The seed of everything that is random.
+    /// The seed of all random values.
     pub seed: u64,
 }
 
@@ -50,7 +50,7 @@
             loss: 0.0,
             near_delay: Duration::from_micros(1_500),
             far_delay: Duration::from_millis(40),
-            warm: Duration::from_secs(60),
+            warm_up: Duration::from_secs(60),
             counted: Duration::from_secs(60),
             seed: 1,
         }
@@ -58,14 +58,14 @@
 }
 
 impl SpreadOptions {
-    /// Returns a cluster of `members` in the zones and regions that such a size has.
+    /// Returns the options of a cluster of `members`, with zones and regions to match its size.
     pub fn sized(members: usize, shape: Shape, loss: f64, seed: u64) -> SpreadOptions {
         let (zones, regions) = if members < 100 { (4, 1) } else { (10, 3) };
         SpreadOptions { members, zones, regions, shape, loss, seed, ..SpreadOptions::default() }
     }
 
-    /// Returns what the shape means for the machines.
-    pub fn membership(&self) -> MembershipOptions {
+    /// Returns the options of the state machines for the shape.
+    pub fn membership_options(&self) -> MembershipOptions {
         let max_flat_nodes = match self.shape {
             Shape::Flat => usize::MAX,
             Shape::ByZone => 0,
--- a/crates/bench/src/spread/trace.rs
+++ b/crates/bench/src/spread/trace.rs
@@ -1,8 +1,8 @@
-//! What happened in a cluster, for checkers that know nothing of the machines.
+//! The trace of a cluster: events that checkers judge without access to the state machines.
 
 use bulrushhall_core::{Revision, Stamp};
 
-/// A `TraceEvent` is one thing that happened at a member.
+/// A `TraceEvent` is an event in a cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TraceEvent {
     /// A revision was accepted by the key-value service.
@@ -21,20 +21,20 @@
         /// The revision.
         revision: Revision,
     },
-    /// A member began to leave.
-    Left {
+    /// A member started to leave.
+    LeavingStarted {
         /// When.
         at: Stamp,
         /// The member.
         member: usize,
     },
-    /// A member's view of another was looked at.
-    Seen {
+    /// A member's view of another was sampled.
+    Observed {
         /// When.
         at: Stamp,
         /// The member whose view it is.
         member: usize,
-        /// The other one.
+        /// The member that is viewed.
         other: usize,
         /// Whether it is seen as leaving.
         leaving: bool,
--- a/crates/bench/tests/member_spread.rs
+++ b/crates/bench/tests/member_spread.rs
@@ -5,7 +5,7 @@
 
 use bulrushhall_bench::spread::{
     Cluster, Shape, SpreadOptions, TraceEvent, leaving_never_cleared, measure, no_late_work,
-    revision_everywhere, revisions_never_fall,
+    revisions_never_revert, revisions_reach_all,
 };
 use bulrushhall_core::{Revision, Stamp};
 use rand::{RngExt, SeedableRng, seq::IndexedRandom};
@@ -41,7 +41,7 @@
 #[case(340, 0.01, 7)]
 fn cost_bounds(#[case] members: usize, #[case] loss: f64, #[case] seed: u64) {
     let options = SpreadOptions {
-        warm: seconds(if members < 300 { 30 } else { 60 }),
+        warm_up: seconds(if members < 300 { 30 } else { 60 }),
         counted: seconds(20),
         ..SpreadOptions::sized(members, Shape::Daemon, loss, seed)
     };
@@ -67,7 +67,7 @@
     cluster.kill(1);
     let alive = cluster.alive();
     let removed = cluster
-        .run_while_not(seconds(60), |cluster| alive.iter().all(|at| !cluster.believes(*at, 1)));
+        .run_until(seconds(60), |cluster| alive.iter().all(|at| !cluster.considers_alive(*at, 1)));
     println!("{members} members, {shape:?}: removed everywhere after {removed:?}");
     assert!(removed.is_some_and(|span| span < seconds(20)), "{removed:?}");
 }
@@ -77,13 +77,13 @@
 fn zone_gone() {
     let mut cluster = cluster(40, Shape::ByZone, 0.01, 8);
     cluster.run(seconds(30));
-    let zone = cluster.of_zone(2);
+    let zone = cluster.members_of_zone(2);
     for at in &zone {
         cluster.kill(*at);
     }
     let alive = cluster.alive();
-    let removed = cluster.run_while_not(seconds(120), |cluster| {
-        alive.iter().all(|at| cluster.believed(*at) == alive.len() - 1)
+    let removed = cluster.run_until(seconds(120), |cluster| {
+        alive.iter().all(|at| cluster.member_count(*at) == alive.len() - 1)
     });
     println!("zone of {} removed everywhere after {removed:?}", zone.len());
     assert!(removed.is_some_and(|span| span < seconds(30)), "{removed:?}");
@@ -91,7 +91,7 @@
         cluster.restart(*at);
     }
     let back =
-        cluster.run_while_not(seconds(60), |cluster| (0..40).all(|at| cluster.believed(at) == 39));
+        cluster.run_until(seconds(60), |cluster| (0..40).all(|at| cluster.member_count(at) == 39));
     assert!(back.is_some(), "the new lives are not known everywhere");
 }
 
@@ -115,16 +115,17 @@
     cluster.run(seconds(30));
     let (some, others): (Vec<usize>, Vec<usize>) =
         (0..MEMBERS).partition(|at| cluster.region_of(cluster.zone_of(*at)) == 0);
-    cluster.cut_between(&some, &others);
+    cluster.partition(&some, &others);
     cluster.run(seconds(3_600));
-    assert!(some.iter().all(|at| cluster.believed(*at) == some.len() - 1));
+    assert!(some.iter().all(|at| cluster.member_count(*at) == some.len() - 1));
     cluster.accept(Revision(1), &some[..2]);
     cluster.run(seconds(20));
     assert!(others.iter().all(|at| cluster.revision(*at) == Revision(0)));
     cluster.heal();
-    let joined = cluster.run_while_not(seconds(120), |cluster| {
-        (0..MEMBERS)
-            .all(|at| cluster.believed(at) == MEMBERS - 1 && cluster.revision(at) == Revision(1))
+    let joined = cluster.run_until(seconds(120), |cluster| {
+        (0..MEMBERS).all(|at| {
+            cluster.member_count(at) == MEMBERS - 1 && cluster.revision(at) == Revision(1)
+        })
     });
     println!("{shape:?}: joined {joined:?} after the cut ended");
     assert!(joined.is_some_and(|span| span < seconds(30)), "{joined:?}");
@@ -140,12 +141,12 @@
     cluster.run(seconds(30));
     cluster.pause(3, seconds(40));
     cluster.run(seconds(39));
-    assert!((0..20).filter(|at| *at != 3).all(|at| !cluster.believes(at, 3)));
+    assert!((0..20).filter(|at| *at != 3).all(|at| !cluster.considers_alive(at, 3)));
     let back =
-        cluster.run_while_not(seconds(30), |cluster| (0..20).all(|at| cluster.believed(at) == 19));
+        cluster.run_until(seconds(30), |cluster| (0..20).all(|at| cluster.member_count(at) == 19));
     println!("{shape:?}: a paused member is back with all {back:?} after the end of its pause");
     assert!(back.is_some());
-    assert_eq!(cluster.suspects(3), 0);
+    assert_eq!(cluster.suspected_count(3), 0);
 }
 
 // Nothing that one node sends reaches another, while the way back works. Each still hears of the
@@ -154,10 +155,10 @@
 fn one_way_link() {
     let mut cluster = cluster(5, Shape::Daemon, 0.0, 11);
     cluster.run(seconds(10));
-    cluster.cut(0, 1);
+    cluster.block(0, 1);
     cluster.run(seconds(120));
-    assert!(cluster.believes(1, 0));
-    assert!(cluster.believes(0, 1));
+    assert!(cluster.considers_alive(1, 0));
+    assert!(cluster.considers_alive(0, 1));
 }
 
 // Nodes die, pause, leave and come back while messages are lost, and revisions are accepted.
@@ -194,8 +195,8 @@
         }
         let trace = cluster.trace();
         events += trace.len();
-        let judged = revisions_never_fall(trace)
-            .and_then(|()| revision_everywhere(trace, 0..untouched, REVISION_MAX))
+        let judged = revisions_never_revert(trace)
+            .and_then(|()| revisions_reach_all(trace, 0..untouched, REVISION_MAX))
             .and_then(|()| leaving_never_cleared(trace))
             .and_then(|()| no_late_work(trace, WORK_MAX));
         assert_eq!(judged, Ok(()), "seed {seed}");
@@ -218,20 +219,21 @@
         revision: Revision(revision),
     };
     let fell = [in_force(1, 0, 2), in_force(2, 1, 1), in_force(3, 0, 1)];
-    assert_eq!(revisions_never_fall(&fell[..2]), Ok(()));
-    assert!(revisions_never_fall(&fell).is_err());
+    assert_eq!(revisions_never_revert(&fell[..2]), Ok(()));
+    assert!(revisions_never_revert(&fell).is_err());
 
     let accepted = TraceEvent::Accepted { at: at(1), revision: Revision(1) };
     let late = [accepted, in_force(5, 0, 1), in_force(20_000, 1, 1)];
-    assert_eq!(revision_everywhere(&late, [0], REVISION_MAX), Ok(()));
-    assert!(revision_everywhere(&late, [0, 1], REVISION_MAX).is_err());
+    assert_eq!(revisions_reach_all(&late, [0], REVISION_MAX), Ok(()));
+    assert!(revisions_reach_all(&late, [0, 1], REVISION_MAX).is_err());
 
-    let seen = |millis, leaving| TraceEvent::Seen { at: at(millis), member: 0, other: 1, leaving };
+    let seen =
+        |millis, leaving| TraceEvent::Observed { at: at(millis), member: 0, other: 1, leaving };
     let cleared = [seen(1, false), seen(2, true), seen(3, false)];
     assert_eq!(leaving_never_cleared(&cleared[..2]), Ok(()));
     assert!(leaving_never_cleared(&cleared).is_err());
 
-    let left = TraceEvent::Left { at: at(0), member: 1 };
+    let left = TraceEvent::LeavingStarted { at: at(0), member: 1 };
     let work = |millis| TraceEvent::Work { at: at(millis), member: 0, to: 1 };
     assert_eq!(no_late_work(&[left, work(4_000)], WORK_MAX), Ok(()));
     assert!(no_late_work(&[left, work(6_000)], WORK_MAX).is_err());
@@ -245,8 +247,8 @@
     cluster.run(seconds(10));
     cluster.trace_work();
     for other in 0..4 {
-        cluster.cut(4, other);
-        cluster.cut(other, 4);
+        cluster.block(4, other);
+        cluster.block(other, 4);
     }
     cluster.leave(4);
     cluster.run(seconds(20));
