--- a/crates/bench/src/policy/cluster.rs
+++ b/crates/bench/src/policy/cluster.rs
@@ -34,7 +34,7 @@
     pub key: WorkerKey,
     /// The name of its VM.
     pub vm: VmName,
-    /// The number of its zone.
+    /// The index of its zone.
     pub zone: usize,
     /// The market that its VM was bought on.
     pub market: FleetMarket,
--- a/crates/bench/src/policy/report.rs
+++ b/crates/bench/src/policy/report.rs
@@ -261,14 +261,14 @@
     let title = format!("{}: cost of 1,000 requests in time", spec.name);
     bar_chart(&file("cost"), &title, "cents", &costs)?;
 
-    let mut waits = Vec::new();
+    let mut first_tokens = Vec::new();
     for descriptor in PlacementRegistry::default().descriptors() {
         let setup = Setup { placement: descriptor.name, ..Setup::default() };
         let Some(found) = results.get(&job_key(spec, setup, Scenario::Burst)) else { continue };
-        waits.push((descriptor.name.to_owned(), found.first_token_p95));
+        first_tokens.push((descriptor.name.to_owned(), found.first_token_p95));
     }
     let title = format!("{}: first token p95 in a burst", spec.name);
-    bar_chart(&file("burst"), &title, "ms", &waits)?;
+    bar_chart(&file("burst"), &title, "ms", &first_tokens)?;
 
     let curve = trade_off(spec, results);
     let points = curve.iter().map(|(weight, summary)| (*weight, summary.recomputed)).collect();
--- a/crates/bench/src/policy/simulation.rs
+++ b/crates/bench/src/policy/simulation.rs
@@ -27,7 +27,7 @@
 const STEP: Duration = Duration::from_millis(2);
 /// When the last request arrives.
 const ARRIVALS_END: Stamp = Stamp::from_millis(120_000);
-/// When a run ends.
+/// When a simulation ends.
 const END: Stamp = Stamp::from_millis(150_000);
 /// When latencies are recorded from in scenarios without a fault or burst.
 const WARM_UP_END: Stamp = Stamp::from_millis(10_000);
@@ -93,7 +93,7 @@
     outcome: Outcome,
 }
 
-/// Runs one setup of a deployment through a scenario.
+/// Simulates a setup of a deployment under a scenario and returns its result.
 pub fn run(spec: &DeploymentSpec, setup: Setup, scenario: Scenario, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(spec, setup, scenario, seed);
     let mut faults: VecDeque<_> = scenario.faults().into();
@@ -161,11 +161,11 @@
         for key in keys {
             let outputs = self.cluster.workers[key].advance(self.now);
             for output in outputs {
-                self.output(key, output);
+                self.handle_output(key, output);
             }
         }
         if self.steps.is_multiple_of(REPORT_STEPS) {
-            self.report();
+            self.send_reports();
         }
         if self.steps.is_multiple_of(TICK_STEPS) {
             for node in 0..self.schedulers.len() {
@@ -292,7 +292,7 @@
 
     fn submit_to_engine(&mut self, number: u64, to: WorkerKey) {
         let Some(request) = self.requests.get_mut(&number) else { return };
-        let id = id_of(number);
+        let id = request_id(number);
         if let Some(from) = request.worker.take()
             && let Some(old) = self.cluster.workers.get_mut(from)
         {
@@ -320,7 +320,7 @@
         }
     }
 
-    fn output(&mut self, key: WorkerKey, output: Output) {
+    fn handle_output(&mut self, key: WorkerKey, output: Output) {
         let number = output.request.sequence;
         let Some(request) = self.requests.get_mut(&number) else { return };
         if request.worker != Some(key) {
@@ -361,8 +361,8 @@
 
     fn note_first_token(&mut self, number: u64, first: bool, latency: Duration) {
         let Some(request) = self.requests.get_mut(&number) else { return };
-        let took = micros(self.now.since(request.arrival.at) + latency);
-        if first && !Outcome::is_in_time(took) {
+        let elapsed = micros(self.now.since(request.arrival.at) + latency);
+        if first && !Outcome::is_in_time(elapsed) {
             request.first_token_late = true;
         }
         let (node, ticket) = (request.node, request.ticket);
@@ -424,8 +424,8 @@
         }
     }
 
-    // Handles the notice of a reclaim on all nodes.
-    fn act_on_notice(&mut self, key: WorkerKey) {
+    // Handles the notice of a reclaim on all nodes: closes the worker and plans the moves.
+    fn handle_notice(&mut self, key: WorkerKey) {
         self.close(key);
         if self.setup.recovery != Recovery::Move {
             return;
@@ -497,7 +497,7 @@
         }
     }
 
-    fn report(&mut self) {
+    fn send_reports(&mut self) {
         let mut messages = Vec::new();
         for worker in self.cluster.workers.values_mut() {
             let load = worker.load();
@@ -544,7 +544,7 @@
                         scheduler.note_cache(key, block, cached);
                     }
                 }
-                Delayed::Notice(key) => self.act_on_notice(key),
+                Delayed::Notice(key) => self.handle_notice(key),
                 Delayed::Submit { request, to } => self.submit_to_engine(request, to),
             }
         }
@@ -556,7 +556,7 @@
     }
 }
 
-fn id_of(number: u64) -> RequestId {
+fn request_id(number: u64) -> RequestId {
     RequestId { origin: Incarnation(1), sequence: number }
 }
 
--- a/crates/bench/src/scenario/runner.rs
+++ b/crates/bench/src/scenario/runner.rs
@@ -18,7 +18,7 @@
 pub struct ScenarioRunner {
     runtime: Runtime,
     environment: Option<Environment>,
-    applied: Revision,
+    last_applied: Revision,
     violations: Vec<Violation>,
 }
 
@@ -31,7 +31,7 @@
         Ok(ScenarioRunner {
             runtime,
             environment: None,
-            applied: Revision(0),
+            last_applied: Revision(0),
             violations: Vec::new(),
         })
     }
@@ -54,18 +54,21 @@
                 Ok(String::new())
             }
             "load" => {
-                let plan = plan(args)?;
+                let plan = parse_plan(args)?;
                 runtime.block_on(async { environment.start_load(plan) })?;
                 Ok("sending".to_owned())
             }
             "kv" => {
-                environment.set_kv(faults(args)?);
+                environment.set_kv(parse_faults(args)?);
                 Ok(String::new())
             }
             "service" => {
                 let index: usize = positional(args, "number")?;
                 let service = environment.testbed.services.get(index);
-                service.ok_or(ScenarioError::NotFound("service"))?.switches().set(faults(args)?);
+                service
+                    .ok_or(ScenarioError::NotFound("service"))?
+                    .switches()
+                    .set(parse_faults(args)?);
                 Ok(String::new())
             }
             "engine" => {
@@ -74,11 +77,11 @@
                 let engine = engine.ok_or(ScenarioError::NotFound("engine"))?;
                 match args.next_pos() {
                     Some("kill") => engine.kill(),
-                    _ => engine.switches().set(faults(args)?),
+                    _ => engine.switches().set(parse_faults(args)?),
                 }
                 Ok(String::new())
             }
-            "node" => node(runtime, environment, args),
+            "node" => run_node_command(runtime, environment, args),
             "reclaim" => {
                 let zone = args.take_key("zone").ok_or(ScenarioError::Missing("zone"))?.to_owned();
                 let notice = duration_ms(args, "notice", 2_000)?;
@@ -92,11 +95,11 @@
             }
             "apply" => {
                 let class = args.take_key("class").ok_or(ScenarioError::Missing("class"))?;
-                self.applied = runtime.block_on(environment.apply(class))?;
+                self.last_applied = runtime.block_on(environment.apply(class))?;
                 Ok("accepted".to_owned())
             }
             "config" => {
-                runtime.block_on(environment.wait_for_config(self.applied))?;
+                runtime.block_on(environment.wait_for_config(self.last_applied))?;
                 Ok("in force everywhere".to_owned())
             }
             "members" => {
@@ -141,9 +144,9 @@
 
     fn start(&mut self, args: &mut Args<'_>) -> Result<String, ScenarioError> {
         let options = TestbedOptions {
-            nodes: number(args, "nodes", 5)?,
-            engines: number(args, "engines", 4)?,
-            services: number(args, "services", 2)?,
+            nodes: keyed(args, "nodes", 5)?,
+            engines: keyed(args, "engines", 4)?,
+            services: keyed(args, "services", 2)?,
             ..TestbedOptions::default()
         };
         let environment = self.runtime.block_on(Environment::start(options))?;
@@ -177,7 +180,7 @@
     }
 }
 
-fn node(
+fn run_node_command(
     runtime: &Runtime,
     environment: &mut Environment,
     args: &mut Args<'_>,
@@ -199,23 +202,23 @@
     Ok(String::new())
 }
 
-fn plan(args: &mut Args<'_>) -> Result<Plan, ScenarioError> {
+fn parse_plan(args: &mut Args<'_>) -> Result<Plan, ScenarioError> {
     let mix: Mix = parse("mix", args.take_key("mix").unwrap_or("guild"))?;
     Ok(Plan {
         mix,
-        rate: number(args, "rate", 20.0)?,
+        rate: keyed(args, "rate", 20.0)?,
         length: duration_ms(args, "for", 3_000)?,
-        requests: number(args, "requests", 500)?,
-        seed: number(args, "seed", 1)?,
+        requests: keyed(args, "requests", 500)?,
+        seed: keyed(args, "seed", 1)?,
         warm_up: Duration::ZERO,
         silence: Duration::from_secs(4),
         patience: Duration::from_secs(40),
-        retries: number(args, "retries", 20)?,
+        retries: keyed(args, "retries", 20)?,
         ..Plan::default()
     })
 }
 
-fn faults(args: &mut Args<'_>) -> Result<Faults, ScenarioError> {
+fn parse_faults(args: &mut Args<'_>) -> Result<Faults, ScenarioError> {
     let mut faults = Faults::default();
     while let Some(word) = args.next_pos() {
         match word {
@@ -225,9 +228,9 @@
             _ => return Err(ScenarioError::Malformed("fault", word.to_owned())),
         }
     }
-    faults.slow_ms = number(args, "slow", 0)?;
-    faults.lost_replies = number(args, "lost", 0.0)?;
-    faults.late_ms = number(args, "late", 0)?;
+    faults.slow_ms = keyed(args, "slow", 0)?;
+    faults.lost_replies = keyed(args, "lost", 0.0)?;
+    faults.late_ms = keyed(args, "late", 0)?;
     Ok(faults)
 }
 
@@ -236,10 +239,10 @@
     name: &'static str,
     default: u64,
 ) -> Result<Duration, ScenarioError> {
-    number(args, name, default).map(Duration::from_millis)
+    keyed(args, name, default).map(Duration::from_millis)
 }
 
-fn number<T: FromStr>(
+fn keyed<T: FromStr>(
     args: &mut Args<'_>,
     name: &'static str,
     default: T,
--- a/crates/bench/src/spread/cluster.rs
+++ b/crates/bench/src/spread/cluster.rs
@@ -280,7 +280,7 @@
                 }
                 self.members[to].traffic.received +=
                     reply_bytes(&self.members[from].sender, &replies);
-                self.learn_revision(to, from, revision);
+                self.fetch_if_newer(to, from, revision);
                 for gossip in replies {
                     let sends = self.deliver(to, from, gossip);
                     self.send_all(to, sends);
@@ -389,7 +389,7 @@
         let incarnation = self.members[to].sender.incarnation;
         self.members[to].traffic.received +=
             message_bytes(&self.members[from].sender, incarnation, &gossip);
-        self.learn_revision(to, from, revision);
+        self.fetch_if_newer(to, from, revision);
         let sender = self.members[from].sender.incarnation;
         let sends = self.deliver(to, from, gossip);
         let (back, others): (Vec<_>, Vec<_>) =
@@ -421,16 +421,16 @@
 
     // A member that receives a newer revision number fetches the revision from the sender, which
     // takes a round trip.
-    fn learn_revision(&mut self, index: usize, source: usize, revision: Revision) {
+    fn fetch_if_newer(&mut self, index: usize, source: usize, revision: Revision) {
         if revision <= self.members[index].sender.revision {
             return;
         }
-        let asked_at = self.arrival_time(index, source);
-        let replied_at = self.arrival_time(source, index);
-        let (Some(asked_at), Some(replied_at)) = (asked_at, replied_at) else { return };
+        let requested = self.arrival_time(index, source);
+        let replied = self.arrival_time(source, index);
+        let (Some(requested), Some(replied)) = (requested, replied) else { return };
         let incarnation = self.members[index].sender.incarnation;
-        let arrives = asked_at + replied_at.since(self.now);
-        self.schedule(arrives, Event::Fetched { member: index, incarnation, revision });
+        let fetched_at = requested + replied.since(self.now);
+        self.schedule(fetched_at, Event::Fetched { member: index, incarnation, revision });
     }
 
     fn put_in_force(&mut self, index: usize, revision: Revision) {
--- a/crates/bench/src/spread/measure.rs
+++ b/crates/bench/src/spread/measure.rs
@@ -43,7 +43,7 @@
     let SpreadOptions { zones, warm_up, counted, .. } = options;
     let mut cluster = Cluster::new(options);
     cluster.run(warm_up);
-    let complete = (0..members).all(|at| cluster.member_count(at) == members - 1);
+    let complete = (0..members).all(|index| cluster.member_count(index) == members - 1);
 
     cluster.take_traffic();
     cluster.take_processor_time();
@@ -53,7 +53,7 @@
     let traffic = cluster.take_traffic();
     let processor_time: Duration = cluster.take_processor_time().into_iter().sum();
     let bytes: Vec<u64> = traffic.iter().map(|traffic| traffic.sent + traffic.received).collect();
-    let suspicions = (0..members).map(|at| cluster.suspected_count(at)).sum();
+    let suspicions = (0..members).map(|index| cluster.suspected_count(index)).sum();
 
     let watchers: Vec<usize> =
         (0..zones).flat_map(|zone| cluster.members_of_zone(zone).into_iter().take(2)).collect();
@@ -62,7 +62,7 @@
     let leaver = members - 1;
     cluster.leave(leaver);
     let leaving = cluster.run_until(MAX_SPREAD_TIME, |cluster| {
-        (0..members).all(|at| cluster.knows_leaving(at, leaver))
+        (0..members).all(|index| cluster.knows_leaving(index, leaver))
     });
     Measurement {
         complete,
@@ -72,7 +72,7 @@
         bytes: bytes.iter().sum::<u64>() as f64 / count / seconds,
         bytes_most: bytes.iter().max().map_or(0.0, |busiest| *busiest as f64 / seconds),
         suspicions,
-        records: (0..members).map(|at| cluster.record_count(at)).max().unwrap_or_default(),
+        records: (0..members).map(|index| cluster.record_count(index)).max().unwrap_or_default(),
         leaving_ms: leaving.map(|span| span.as_millis()),
         revision_ms: revision.map(|span| span.as_millis()),
         lone_revision_ms: lone_revision.map(|span| span.as_millis()),
@@ -84,6 +84,6 @@
     cluster.accept(revision, to);
     let members = cluster.alive();
     cluster.run_until(MAX_SPREAD_TIME, |cluster| {
-        members.iter().all(|at| revision <= cluster.revision(*at))
+        members.iter().all(|index| revision <= cluster.revision(*index))
     })
 }
