--- a/crates/bench/src/policy/outcome.rs
+++ b/crates/bench/src/policy/outcome.rs
@@ -13,10 +13,11 @@
 pub struct Outcome {
     /// The cost of the VMs, in thousandths of a cent.
     pub cost: f64,
-    /// The times to the first token of urgent requests that arrived after the first fault, in
-    /// microseconds.
+    /// The times to the first token of urgent requests that arrived after the start of the
+    /// measurement, which is the main fault or the end of the warm-up, in microseconds.
     pub first_tokens: Histogram<u64>,
-    /// The times between tokens of urgent requests after the first fault, in microseconds.
+    /// The times between tokens of urgent requests after the start of the measurement, in
+    /// microseconds.
     pub gaps: Histogram<u64>,
     /// The urgent requests of each team that finished and had their first token in time.
     pub urgent_in_time: [u64; 5],
--- a/crates/bench/tests/member_spread.rs
+++ b/crates/bench/tests/member_spread.rs
@@ -105,7 +105,7 @@
 #[rstest]
 #[case(Shape::Flat)]
 #[case(Shape::ByZone)]
-fn regions_apart(#[case] shape: Shape) {
+fn partitioned_regions(#[case] shape: Shape) {
     const MEMBERS: usize = 10;
     let options = SpreadOptions {
         members: MEMBERS,
