--- a/crates/bench/src/scenario/runner.rs
+++ b/crates/bench/src/scenario/runner.rs
@@ -11,120 +11,132 @@
     TestbedOptions,
     check::Violation,
     load::{Mix, Plan},
-    scenario::{ScenarioError, Stage, stage::words},
+    scenario::{Environment, ScenarioError, environment::summarize_violations},
 };
 
-/// A `ScenarioRunner` carries out one script.
+/// A `ScenarioRunner` executes the commands of one script.
 pub struct ScenarioRunner {
     runtime: Runtime,
-    stage: Option<Stage>,
-    applied: Revision,
-    details: Vec<Violation>,
+    environment: Option<Environment>,
+    last_applied: Revision,
+    violations: Vec<Violation>,
 }
 
 type Args<'a> = ArgumentConsumer<'a>;
 
 impl ScenarioRunner {
-    /// Returns a runner that has started nothing yet.
+    /// Returns a runner without a deployment; the script's `start` command starts one.
     pub fn new() -> io::Result<ScenarioRunner> {
         let runtime = Runtime::new()?;
-        Ok(ScenarioRunner { runtime, stage: None, applied: Revision(0), details: Vec::new() })
+        Ok(ScenarioRunner {
+            runtime,
+            environment: None,
+            last_applied: Revision(0),
+            violations: Vec::new(),
+        })
     }
 
-    /// Returns the broken promises in full, for whoever looks into a script that failed.
-    pub fn details(&self) -> &[Violation] {
-        &self.details
+    /// Returns all violations found so far, in full; the script's output holds only their counts.
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 
-    fn carry_out(&mut self, name: &str, args: &mut Args<'_>) -> Result<String, ScenarioError> {
+    fn execute(&mut self, name: &str, args: &mut Args<'_>) -> Result<String, ScenarioError> {
         if name == "start" {
             return self.start(args);
         }
-        let stage = self.stage.as_mut().ok_or(ScenarioError::NotThere("deployment"))?;
+        let environment = self.environment.as_mut().ok_or(ScenarioError::NotFound("deployment"))?;
         let runtime = &self.runtime;
         match name {
             "wait" => {
-                let pause = millis(args, "ms", 0)?;
+                let pause = duration_ms(args, "ms", 0)?;
                 runtime.block_on(async { sleep(pause).await });
                 Ok(String::new())
             }
             "load" => {
-                let plan = plan(args)?;
-                runtime.block_on(async { stage.send(plan) })?;
+                let plan = parse_plan(args)?;
+                runtime.block_on(async { environment.start_load(plan) })?;
                 Ok("sending".to_owned())
             }
             "kv" => {
-                stage.set_kv(faults(args)?);
+                environment.set_kv(parse_faults(args)?);
                 Ok(String::new())
             }
             "service" => {
-                let at: usize = position(args, "number")?;
-                let service = stage.testbed.services.get(at);
-                service.ok_or(ScenarioError::NotThere("service"))?.switches().set(faults(args)?);
+                let index: usize = positional(args, "number")?;
+                let service = environment.testbed.services.get(index);
+                service
+                    .ok_or(ScenarioError::NotFound("service"))?
+                    .switches()
+                    .set(parse_faults(args)?);
                 Ok(String::new())
             }
             "engine" => {
-                let at: usize = position(args, "number")?;
-                let engine = stage.testbed.engines.get(at);
-                let engine = engine.ok_or(ScenarioError::NotThere("engine"))?;
+                let index: usize = positional(args, "number")?;
+                let engine = environment.testbed.engines.get(index);
+                let engine = engine.ok_or(ScenarioError::NotFound("engine"))?;
                 match args.next_pos() {
                     Some("kill") => engine.kill(),
-                    _ => engine.switches().set(faults(args)?),
+                    _ => engine.switches().set(parse_faults(args)?),
                 }
                 Ok(String::new())
             }
-            "node" => node(runtime, stage, args),
+            "node" => run_node_command(runtime, environment, args),
             "reclaim" => {
                 let zone = args.take_key("zone").ok_or(ScenarioError::Missing("zone"))?.to_owned();
-                let notice = millis(args, "notice", 2_000)?;
-                let hit = runtime.block_on(async { stage.reclaim(&zone, notice) });
-                Ok(format!("{hit} VMs leave"))
+                let notice = duration_ms(args, "notice", 2_000)?;
+                let count = runtime.block_on(async { environment.reclaim(&zone, notice) });
+                Ok(format!("{count} VMs leave"))
             }
             "refuse" => {
                 let zones = args.take_key("zones").unwrap_or_default();
-                stage.testbed.refuse_in(&zones.split(',').collect::<Vec<&str>>());
+                environment.testbed.refuse_in(&zones.split(',').collect::<Vec<&str>>());
                 Ok(String::new())
             }
             "apply" => {
                 let class = args.take_key("class").ok_or(ScenarioError::Missing("class"))?;
-                self.applied = runtime.block_on(stage.apply(class))?;
+                self.last_applied = runtime.block_on(environment.apply(class))?;
                 Ok("accepted".to_owned())
             }
             "config" => {
-                runtime.block_on(stage.wait_for_config(self.applied))?;
+                runtime.block_on(environment.wait_for_config(self.last_applied))?;
                 Ok("in force everywhere".to_owned())
             }
             "members" => {
-                let alive = runtime.block_on(stage.wait_for_members())?;
+                let alive = runtime.block_on(environment.wait_for_members())?;
                 Ok(format!("{alive} nodes know each other"))
             }
             "leaving" => {
                 let zone = args.take_key("zone").ok_or(ScenarioError::Missing("zone"))?;
-                let (grace, length) = (millis(args, "grace", 3_000)?, millis(args, "for", 1_000)?);
-                let broken = runtime.block_on(stage.judge_leaving(zone, grace, length))?;
-                Ok(self.told(broken))
+                let (grace, length) =
+                    (duration_ms(args, "grace", 3_000)?, duration_ms(args, "for", 1_000)?);
+                let broken = runtime.block_on(environment.judge_leaving(zone, grace, length))?;
+                Ok(self.report(broken))
             }
             "settle" => {
-                let (sent, others) = runtime.block_on(stage.settle())?;
-                let others: Vec<String> =
-                    others.iter().map(|(outcome, count)| format!("{outcome:?} {count}")).collect();
-                Ok(match others.as_slice() {
+                let (sent, unfinished) = runtime.block_on(environment.wait_for_load())?;
+                let unfinished: Vec<String> = unfinished
+                    .iter()
+                    .map(|(outcome, count)| format!("{outcome:?} {count}"))
+                    .collect();
+                Ok(match unfinished.as_slice() {
                     [] => format!("{sent} requests, all finished"),
-                    _ => format!("{sent} requests, not finished: {}", others.join(", ")),
+                    _ => format!("{sent} requests, not finished: {}", unfinished.join(", ")),
                 })
             }
             "settle-accepted" => {
-                // How many are refused depends on how fast things go; what was accepted does not.
-                runtime.block_on(stage.settle())?;
+                // How many requests are refused depends on timing, so no counts are printed. What
+                // becomes of accepted requests does not, and `judge` checks it.
+                runtime.block_on(environment.wait_for_load())?;
                 Ok("ended".to_owned())
             }
             "judge" => {
-                let broken = stage.judge();
-                Ok(self.told(broken))
+                let broken = environment.judge();
+                Ok(self.report(broken))
             }
             "judge-stops" => {
-                let broken = stage.judge_stops();
-                Ok(self.told(broken))
+                let broken = environment.judge_stops();
+                Ok(self.report(broken))
             }
             _ => Err(ScenarioError::UnknownCommand(name.to_owned())),
         }
@@ -132,21 +144,21 @@
 
     fn start(&mut self, args: &mut Args<'_>) -> Result<String, ScenarioError> {
         let options = TestbedOptions {
-            nodes: number(args, "nodes", 5)?,
-            engines: number(args, "engines", 4)?,
-            services: number(args, "services", 2)?,
+            nodes: keyed(args, "nodes", 5)?,
+            engines: keyed(args, "engines", 4)?,
+            services: keyed(args, "services", 2)?,
             ..TestbedOptions::default()
         };
-        let stage = self.runtime.block_on(Stage::start(options))?;
-        let nodes = stage.alive().len();
-        self.stage = Some(stage);
+        let environment = self.runtime.block_on(Environment::start(options))?;
+        let nodes = environment.alive().len();
+        self.environment = Some(environment);
         Ok(format!("{nodes} nodes know each other"))
     }
 
-    fn told(&mut self, broken: Vec<Violation>) -> String {
-        let told = words(&broken);
-        self.details.extend(broken);
-        told
+    fn report(&mut self, broken: Vec<Violation>) -> String {
+        let report = summarize_violations(&broken);
+        self.violations.extend(broken);
+        report
     }
 }
 
@@ -155,58 +167,58 @@
 
     fn run(&mut self, command: &Command, _cx: &Context) -> Result<String, Box<dyn Error>> {
         let mut args = command.consume_args();
-        let told = self.carry_out(&command.name, &mut args)?;
+        let output = self.execute(&command.name, &mut args)?;
         args.reject_next()?;
-        Ok(told)
+        Ok(output)
     }
 
     fn end_script(&mut self) -> Result<(), Box<dyn Error>> {
-        // The tasks of the stand-ins belong to the runtime, so they end inside it.
-        let stage = self.stage.take();
-        self.runtime.block_on(async { drop(stage) });
+        // The tasks of the stand-ins belong to the runtime, so the testbed is dropped inside it.
+        let environment = self.environment.take();
+        self.runtime.block_on(async { drop(environment) });
         Ok(())
     }
 }
 
-fn node(
+fn run_node_command(
     runtime: &Runtime,
-    stage: &mut Stage,
+    environment: &mut Environment,
     args: &mut Args<'_>,
 ) -> Result<String, ScenarioError> {
-    let first = args.next_pos().ok_or(ScenarioError::Missing("number"))?;
-    if first == "add" {
-        runtime.block_on(stage.add_node())?;
+    let target = args.next_pos().ok_or(ScenarioError::Missing("number"))?;
+    if target == "add" {
+        runtime.block_on(environment.add_node())?;
         return Ok(String::new());
     }
-    let at: usize = parse("number", first)?;
-    let node = stage.testbed.nodes.get(at).ok_or(ScenarioError::NotThere("node"))?;
+    let index: usize = parse("number", target)?;
+    let node = environment.testbed.nodes.get(index).ok_or(ScenarioError::NotFound("node"))?;
     match args.next_pos() {
         Some("kill") => node.kill(),
         Some("stop") => runtime.block_on(node.stop()),
-        other => {
-            return Err(ScenarioError::Malformed("act", other.unwrap_or_default().to_owned()));
+        action => {
+            return Err(ScenarioError::Malformed("action", action.unwrap_or_default().to_owned()));
         }
     }
     Ok(String::new())
 }
 
-fn plan(args: &mut Args<'_>) -> Result<Plan, ScenarioError> {
+fn parse_plan(args: &mut Args<'_>) -> Result<Plan, ScenarioError> {
     let mix: Mix = parse("mix", args.take_key("mix").unwrap_or("guild"))?;
     Ok(Plan {
         mix,
-        rate: number(args, "rate", 20.0)?,
-        length: millis(args, "for", 3_000)?,
-        requests: number(args, "requests", 500)?,
-        seed: number(args, "seed", 1)?,
+        rate: keyed(args, "rate", 20.0)?,
+        length: duration_ms(args, "for", 3_000)?,
+        requests: keyed(args, "requests", 500)?,
+        seed: keyed(args, "seed", 1)?,
         warm_up: Duration::ZERO,
         silence: Duration::from_secs(4),
         patience: Duration::from_secs(40),
-        retries: number(args, "retries", 20)?,
+        retries: keyed(args, "retries", 20)?,
         ..Plan::default()
     })
 }
 
-fn faults(args: &mut Args<'_>) -> Result<Faults, ScenarioError> {
+fn parse_faults(args: &mut Args<'_>) -> Result<Faults, ScenarioError> {
     let mut faults = Faults::default();
     while let Some(word) = args.next_pos() {
         match word {
@@ -216,21 +228,21 @@
             _ => return Err(ScenarioError::Malformed("fault", word.to_owned())),
         }
     }
-    faults.slow_ms = number(args, "slow", 0)?;
-    faults.lost_replies = number(args, "lost", 0.0)?;
-    faults.late_ms = number(args, "late", 0)?;
+    faults.slow_ms = keyed(args, "slow", 0)?;
+    faults.lost_replies = keyed(args, "lost", 0.0)?;
+    faults.late_ms = keyed(args, "late", 0)?;
     Ok(faults)
 }
 
-fn millis(
+fn duration_ms(
     args: &mut Args<'_>,
     name: &'static str,
     default: u64,
 ) -> Result<Duration, ScenarioError> {
-    number(args, name, default).map(Duration::from_millis)
+    keyed(args, name, default).map(Duration::from_millis)
 }
 
-fn number<T: FromStr>(
+fn keyed<T: FromStr>(
     args: &mut Args<'_>,
     name: &'static str,
     default: T,
@@ -238,7 +250,7 @@
     args.take_key(name).map_or(Ok(default), |text| parse(name, text))
 }
 
-fn position<T: FromStr>(args: &mut Args<'_>, name: &'static str) -> Result<T, ScenarioError> {
+fn positional<T: FromStr>(args: &mut Args<'_>, name: &'static str) -> Result<T, ScenarioError> {
     parse(name, args.next_pos().ok_or(ScenarioError::Missing(name))?)
 }
 
