--- a/crates/bench/src/spread/member.rs
+++ b/crates/bench/src/spread/member.rs
@@ -6,7 +6,7 @@
 use bulrushhall_core::{Incarnation, NodeName, Revision, Stamp, VmName, ZoneName};
 use bulrushhall_daemon::{
     members::Member,
-    peers::{Envelope, Sender, Spread},
+    peers::{Envelope, GossipMessage, Sender},
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -42,7 +42,7 @@
 
 /// Returns the bytes of a message as it is sent.
 pub fn message_bytes(from: &Sender, to: Incarnation, gossip: &Gossip<Member>) -> u64 {
-    let body = Spread { gossip: gossip.clone() };
+    let body = GossipMessage { gossip: gossip.clone() };
     REQUEST_HEAD + encoded(&Envelope { from: from.clone(), to: Some(to), body })
 }
 
--- a/crates/daemon/src/callers/observe.rs
+++ b/crates/daemon/src/callers/observe.rs
@@ -25,7 +25,7 @@
     },
     context::Context,
     meters::Metric,
-    telemetry::hop,
+    telemetry::with_remote_parent,
 };
 
 /// What stands for a team or class that a request does not have.
@@ -75,7 +75,7 @@
             team = self.team(),
             class = self.class(),
         );
-        hop(span, &parts.headers)
+        with_remote_parent(span, &parts.headers)
     }
 
     /// Goes on with the answer; it is over once the body has been sent or dropped.
--- a/crates/daemon/src/callers/relay.rs
+++ b/crates/daemon/src/callers/relay.rs
@@ -26,7 +26,7 @@
     dispatcher::{Finished, FirstToken, Start},
     handoff::{Cause, Portable, Produced},
     meters::Metric,
-    telemetry::resume,
+    telemetry::with_parent,
 };
 
 /// The pause before the next attempt when no engine takes work or one has just failed.
@@ -52,7 +52,7 @@
 pub async fn traced(cx: Arc<Context>, run: Run, pending: Option<Pending>) {
     let (node, cause) = (&cx.settings.node.name, run.cause.word());
     let span = tracing::info_span!("run", %node, request = %run.answer.id(), cause);
-    let span = resume(span, run.portable.trace_parent.as_deref());
+    let span = with_parent(span, run.portable.trace_parent.as_deref());
     self::run(cx, run, pending).instrument(span).await;
 }
 
@@ -78,10 +78,10 @@
             tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
-        let start = asked.start.await.unwrap_or(Start::Nowhere);
+        let start = asked.start.await.unwrap_or(Start::NoWorker);
         let worker = match start {
             Start::On(key) => Some(key),
-            Start::Nowhere => None,
+            Start::NoWorker => None,
             Start::Expired => {
                 settle::fail(&cx, &answer, expired(&answer)).await;
                 return;
--- a/crates/daemon/src/dispatcher.rs
+++ b/crates/daemon/src/dispatcher.rs
@@ -52,7 +52,7 @@
     /// Run on this engine.
     On(WorkerKey),
     /// No engine takes work now; ask again soon.
-    Nowhere,
+    NoWorker,
     /// The deadline has passed.
     Expired,
 }
@@ -180,7 +180,7 @@
                     let _ = tx.send(Verdict::Refused(after));
                 }
                 SchedulerAction::Start(ticket, key) => service.start(ticket, Start::On(key)),
-                SchedulerAction::NoWorker(ticket) => service.start(ticket, Start::Nowhere),
+                SchedulerAction::NoWorker(ticket) => service.start(ticket, Start::NoWorker),
                 SchedulerAction::Expire(ticket) => service.start(ticket, Start::Expired),
             }
         }
--- a/crates/daemon/src/membership_actor.rs
+++ b/crates/daemon/src/membership_actor.rs
@@ -18,7 +18,7 @@
 use crate::{
     context::Context,
     members::Member,
-    peers::{PeerPort, Spread},
+    peers::{GossipMessage, PeerPort},
 };
 
 /// The pause between two looks at whether a round is due.
@@ -131,7 +131,7 @@
     ) {
         let (cx, address) = (Arc::clone(&self.cx), address.clone());
         tokio::spawn(async move {
-            let spread = Spread { gossip };
+            let spread = GossipMessage { gossip };
             let Ok((from, replies)) = cx.peers.ask(&cx, to, life, spread).await else { return };
             for gossip in replies {
                 let _ = address.send(Heard { from: from.incarnation, gossip }).await;
@@ -180,7 +180,7 @@
 
 /// Registers what is done with messages about members.
 pub fn register(port: &mut PeerPort, address: Address<MembershipActor>) {
-    port.register(move |_cx, from, spread: Spread| {
+    port.register(move |_cx, from, spread: GossipMessage| {
         let address = address.clone();
         async move {
             let heard = Heard { from: from.incarnation, gossip: spread.gossip };
--- a/crates/daemon/src/peers/spread.rs
+++ b/crates/daemon/src/peers/gossip_message.rs
@@ -5,15 +5,15 @@
 
 use crate::{members::Member, peers::PeerMessage};
 
-/// A `Spread` tells the receiver about members; the reply tells the sender.
+/// A `GossipMessage` tells the receiver about members; the reply tells the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spread {
+pub struct GossipMessage {
     /// What it tells.
     #[serde(rename = "g")]
     pub gossip: Gossip<Member>,
 }
 
-impl PeerMessage for Spread {
+impl PeerMessage for GossipMessage {
     const PATH: &'static str = "/members";
     type Reply = Vec<Gossip<Member>>;
 }
--- a/crates/daemon/src/peers/port.rs
+++ b/crates/daemon/src/peers/port.rs
@@ -13,7 +13,7 @@
 use crate::{
     context::Context,
     peers::{Envelope, PeerMessage, Sender},
-    telemetry::{TRACE_PARENT, hop},
+    telemetry::{TRACE_PARENT, with_remote_parent},
 };
 
 /// The largest message between nodes, in bytes.
@@ -106,7 +106,7 @@
                 let node = &self.cx.settings.node.name;
                 let path = req.uri().path();
                 let span = tracing::info_span!("peer", otel.kind = "server", %node, path);
-                hop(span, req.headers())
+                with_remote_parent(span, req.headers())
             }
             false => Span::none(),
         };
--- a/crates/daemon/src/telemetry/mod.rs
+++ b/crates/daemon/src/telemetry/mod.rs
@@ -1,11 +1,11 @@
 //! Logs and traces of the daemon's process.
 
 mod collector;
-mod hops;
 mod lines;
 mod process;
+mod propagation;
 
 pub use collector::{CollectorError, provider};
-pub use hops::{TRACE_PARENT, hop, inject, resume, trace_parent};
 pub use lines::Lines;
 pub use process::Telemetry;
+pub use propagation::{TRACE_PARENT, inject, trace_parent, with_parent, with_remote_parent};
--- a/crates/daemon/src/telemetry/hops.rs
+++ b/crates/daemon/src/telemetry/propagation.rs
@@ -21,7 +21,7 @@
 /// Makes `span` a child of the span that the headers name, if they name one.
 ///
 /// A malformed header is left out of account: a request must not fail because of its trace.
-pub fn hop(span: Span, headers: &HeaderMap) -> Span {
+pub fn with_remote_parent(span: Span, headers: &HeaderMap) -> Span {
     if headers.contains_key(TRACE_PARENT) {
         let parent = TraceContextPropagator::new().extract(&Headers(headers));
         // This fails only where spans are not collected at all.
@@ -31,7 +31,7 @@
 }
 
 /// Makes `span` a child of the span that [`trace_parent`] has named, maybe at another node.
-pub fn resume(span: Span, trace_parent: Option<&str>) -> Span {
+pub fn with_parent(span: Span, trace_parent: Option<&str>) -> Span {
     let Some(trace_parent) = trace_parent else { return span };
     let carrier = HashMap::from([(TRACE_PARENT.to_owned(), trace_parent.to_owned())]);
     let _ = span.set_parent(TraceContextPropagator::new().extract(&carrier));
