--- a/crates/daemon/src/backends.rs
+++ b/crates/daemon/src/backends.rs
@@ -23,9 +23,9 @@
 use crate::settings::LimitSettings;
 
 /// The assumed one-way latency to a backend server in another availability zone.
-const OTHER_ZONE_DISTANCE: Duration = Duration::from_micros(1_500);
+const OTHER_ZONE_LATENCY: Duration = Duration::from_micros(1_500);
 
-/// A `Backend` is one backend server and the client that reaches it.
+/// A `Backend` is one backend server with its client.
 #[derive(Clone)]
 pub struct Backend {
     /// The service that it belongs to.
@@ -38,7 +38,7 @@
     pub client: BackendClient,
 }
 
-/// A `BackendClient` reaches a backend server of one type.
+/// A `BackendClient` is the client of a backend server of one type.
 #[derive(Clone)]
 pub enum BackendClient {
     /// A model engine.
@@ -62,16 +62,16 @@
 }
 
 impl Backends {
-    /// Makes the known backend servers those that `deployment` names and the list of VMs shows.
-    pub fn follow(&self, deployment: &Deployment, limits: &LimitSettings) {
+    /// Updates the known backend servers to those in `deployment` and in the VM list.
+    pub fn update(&self, deployment: &Deployment, limits: &LimitSettings) {
         let mut state = self.lock();
-        let mut named = HashMap::new();
+        let mut by_address = HashMap::new();
         for (service, cfg) in &deployment.services {
             let listed = state.listed.iter().filter(|vm| vm.service.as_ref() == Some(service));
             let listed: Vec<BackendAddress> = listed.map(address_of).collect();
             for address in cfg.backends.iter().chain(&listed) {
                 let id = format!("{service} {address}");
-                let known = named.get(&id).or_else(|| state.by_address.get(&id)).copied();
+                let known = by_address.get(&id).or_else(|| state.by_address.get(&id)).copied();
                 let key = known.unwrap_or_else(|| {
                     let client = client(cfg.service_type, address, limits, cfg.timeout.into());
                     state.arena.insert(Backend {
@@ -81,15 +81,15 @@
                         client,
                     })
                 });
-                named.insert(id, key);
+                by_address.insert(id, key);
             }
         }
-        let kept: Vec<WorkerKey> = named.values().copied().collect();
+        let kept: Vec<WorkerKey> = by_address.values().copied().collect();
         state.arena.retain(|key, _| kept.contains(&key));
-        state.by_address = named;
+        state.by_address = by_address;
     }
 
-    /// Takes a new list of VMs; returns whether it differs from the last one.
+    /// Stores a new VM list; returns whether it differs from the last one.
     pub fn set_listed(&self, listed: Vec<ListedVm>) -> bool {
         let mut state = self.lock();
         let differs = state.listed != listed;
@@ -97,12 +97,12 @@
         differs
     }
 
-    /// Returns the last list of VMs.
+    /// Returns the last VM list.
     pub fn listed(&self) -> Vec<ListedVm> {
         self.lock().listed.clone()
     }
 
-    /// Gets a backend server.
+    /// Returns a backend server.
     pub fn get(&self, key: WorkerKey) -> Option<Backend> {
         self.lock().arena.get(key).cloned()
     }
@@ -121,7 +121,7 @@
         on_vm.map(|(key, backend)| (key, backend.clone())).collect()
     }
 
-    /// Closes a VM for new work, for the rest of its life; returns its backend servers.
+    /// Closes a VM for new work permanently; returns its backend servers.
     pub fn close(&self, vm: &VmName) -> Vec<(WorkerKey, Backend)> {
         let mut state = self.lock();
         state.leaving.insert(vm.clone());
@@ -134,16 +134,16 @@
         self.lock().leaving.contains(vm)
     }
 
-    /// Returns the engines of a service as placement sees them at first.
+    /// Returns the initial placement view of a service's engines.
     pub fn views(&self, service: &ServiceName, own_zone: &ZoneName, slots: u32) -> Vec<WorkerView> {
         let mut views = Vec::new();
         for (key, backend) in self.of(service) {
-            let near = backend.zone == *own_zone;
+            let same_zone = backend.zone == *own_zone;
             views.push(WorkerView {
                 key,
                 identity: xxh3_64(backend.vm.as_str().as_bytes()),
                 open: !self.is_closed(&backend.vm),
-                network_latency: if near { Duration::ZERO } else { OTHER_ZONE_DISTANCE },
+                network_latency: if same_zone { Duration::ZERO } else { OTHER_ZONE_LATENCY },
                 slots,
                 ..WorkerView::default()
             });
--- a/crates/daemon/src/budgeted.rs
+++ b/crates/daemon/src/budgeted.rs
@@ -1,4 +1,4 @@
-//! A key-value service whose calls are limited and counted for one purpose.
+//! A key-value client that limits and counts its calls by purpose.
 
 use std::{
     sync::{Arc, Mutex},
@@ -18,7 +18,7 @@
     meters::{Meters, Metric},
 };
 
-/// A `Budgeted` passes calls on while the budget of its purpose lasts.
+/// A `Budgeted` is a key-value client that fails calls beyond the call budget of its purpose.
 pub struct Budgeted {
     inner: Arc<dyn KeyValue>,
     budget: Arc<Mutex<CallBudget>>,
@@ -28,7 +28,7 @@
 }
 
 impl Budgeted {
-    /// Returns the service as one purpose may use it.
+    /// Returns a client of `inner` within the budget of `purpose`.
     pub fn new(
         inner: Arc<dyn KeyValue>,
         budget: Arc<Mutex<CallBudget>>,
@@ -41,8 +41,8 @@
 
     async fn counted<T>(&self, call: Call<'_, T>) -> Result<T, CallError> {
         let now = self.clock.now();
-        let taken = self.lock(|budget| budget.take(now, self.purpose));
-        if taken.is_err() {
+        let admitted = self.lock(|budget| budget.take(now, self.purpose));
+        if admitted.is_err() {
             self.count("held_back");
             return Err(CallError::not_done(CallFault::Budget));
         }
--- a/crates/daemon/src/certificates.rs
+++ b/crates/daemon/src/certificates.rs
@@ -1,4 +1,4 @@
-//! The node's certificates: read at the start and again whenever their files change.
+//! The node's certificates: loaded at the start and reloaded when their files change.
 
 use std::{path::PathBuf, sync::Arc, time::Duration};
 
@@ -8,10 +8,10 @@
 
 use crate::{errors::NodeError, settings::TlsSettings};
 
-/// The pause between two looks at the files.
+/// The poll interval of the files.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// Returns the protection that the settings ask for, if any.
+/// Loads the TLS certificates if the settings name any.
 pub fn load(settings: &TlsSettings) -> Result<Option<Arc<Tls>>, Report<NodeError>> {
     let TlsSettings { certificate, key, authority } = settings.clone();
     let (Some(certificate), Some(key), Some(authority)) = (certificate, key, authority) else {
@@ -21,17 +21,17 @@
     Ok(Some(Arc::new(tls.change_context(NodeError::Certificates)?)))
 }
 
-/// Reads the files again and again and uses what has changed for new connections.
+/// Polls the files and uses changed certificates for new connections.
 pub async fn follow(tls: Option<Arc<Tls>>) {
     let Some(tls) = tls else { return };
-    let mut seen = contents(tls.files()).await;
+    let mut previous = contents(tls.files()).await;
     loop {
         tokio::time::sleep(PAUSE).await;
-        let found = contents(tls.files()).await;
-        if found == seen {
+        let current = contents(tls.files()).await;
+        if current == previous {
             continue;
         }
-        seen = found;
+        previous = current;
         match tls.reload() {
             Ok(()) => tracing::info!(event = Event::CertificatesChanged.number()),
             Err(error) => tracing::error!(event = Event::CertificatesRejected.number(), %error),
@@ -43,7 +43,7 @@
     let files: [PathBuf; 3] =
         [files.certificate.clone(), files.key.clone(), files.authority.clone()];
     let read = move || files.iter().map(|file| std::fs::read(file).ok()).collect();
-    // Reading may block. Where the task that reads has failed, nothing is taken to have changed
-    // until the next look.
+    // Reading may block. A failed read task yields an empty list, which counts as a change: reloading
+    // unchanged files does no harm.
     tokio::task::spawn_blocking(read).await.unwrap_or_default()
 }
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,9 +1,9 @@
-//! The clock that turns real time into the stamps of state machines.
+//! The clock that provides the time stamps of state machines.
 
 use bulrushhall_core::Stamp;
 use tokio::time::Instant;
 
-/// A `Clock` counts from the start of the node.
+/// A `Clock` is a monotonic clock that counts from the start of the node.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -15,12 +15,12 @@
         Clock { started: Instant::now() }
     }
 
-    /// Returns the present stamp.
+    /// Returns the current stamp.
     pub fn now(&self) -> Stamp {
         Stamp(u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Returns when a stamp is reached.
+    /// Returns the instant of a stamp.
     pub fn instant(&self, stamp: Stamp) -> Instant {
         self.started + stamp.since(Stamp(0))
     }
--- a/crates/daemon/src/config_chain.rs
+++ b/crates/daemon/src/config_chain.rs
@@ -1,4 +1,4 @@
-//! Adding a configuration and reading the chain, over any key-value service.
+//! Writing and reading the chain of configuration revisions in a key-value service.
 
 use std::{error, fmt};
 
@@ -14,38 +14,38 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// The earlier revisions that are kept.
+/// The number of earlier revisions that are kept.
 pub const KEPT_REVISIONS: u64 = 128;
 
-/// An `Applied` is a configuration that is accepted, for certain.
+/// An `Applied` is a configuration that was accepted with certainty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Applied {
     /// Its revision.
     pub revision: Revision,
 }
 
-/// An `ApplyError` tells why a configuration is not accepted, for certain.
+/// An `ApplyError` is the reason why a configuration was rejected with certainty.
 #[derive(Debug)]
 pub enum ApplyError {
-    /// The text is no configuration.
+    /// The text is not a valid configuration.
     Invalid(CoreError),
-    /// The chain did not take it.
+    /// The chain refused it.
     Refused(ChainRefusal),
 }
 
-/// An `ApplyProgress` tells what takes long.
+/// An `ApplyProgress` is the reason for a delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyProgress {
-    /// A call failed before anything was written; it is tried again.
+    /// A call failed before anything was written and is retried.
     Retrying,
-    /// The reply to the write is missing; it is asked for until the outcome is certain.
+    /// The reply to the write was lost; the key is read until the outcome is certain.
     Settling,
 }
 
-/// Checks `text` and adds it on top of revision `expected`, or of whatever is newest.
+/// Validates `text` and appends it to revision `expected`, or to the newest one.
 ///
-/// Once a write may have happened this goes on until the outcome is certain, however long the
-/// service is away. Waiting can be cut short by dropping the future; the outcome is then open.
+/// Once a write may have happened, this retries until the outcome is certain, however long the service
+/// is unavailable. Dropping the future stops the wait and leaves the outcome unknown.
 pub async fn apply(
     kv: &dyn KeyValue,
     expected: Option<Revision>,
@@ -57,7 +57,7 @@
     .await
 }
 
-/// Does what [`apply`] does and tells `report` each time a call has to be repeated.
+/// Does the same as [`apply`] and calls `report` before each repeated call.
 pub async fn apply_reporting(
     kv: &dyn KeyValue,
     expected: Option<Revision>,
@@ -72,7 +72,7 @@
         let (pause, call) = match step {
             ChainStep::Call(pause, call) => (pause, call),
             ChainStep::Accepted(revision) => {
-                forget_old(kv, revision).await;
+                remove_old(kv, revision).await;
                 return Ok(Applied { revision });
             }
             ChainStep::Refused(refusal) => return Err(ApplyError::Refused(refusal)),
@@ -87,13 +87,13 @@
     }
 }
 
-/// Gets the newest revision; revision 0 where there is none yet.
+/// Reads the newest revision; returns revision 0 if there is none yet.
 pub async fn current(kv: &dyn KeyValue) -> Result<Head, CallError> {
     let found = kv.get(HEAD_KEY).await?;
     Head::decode(&found.value).map_err(|_| malformed())
 }
 
-/// Gets the revisions that can be read, oldest first.
+/// Reads the numbers of all stored revisions, oldest first.
 pub async fn history(kv: &dyn KeyValue) -> Result<Vec<Revision>, CallError> {
     let mut revisions: Vec<Revision> = kv
         .list(HISTORY_PREFIX)
@@ -111,7 +111,7 @@
     Ok(revisions)
 }
 
-/// Gets one revision; none where it is not kept.
+/// Reads one revision; returns `None` if it is not stored.
 pub async fn revision(kv: &dyn KeyValue, revision: Revision) -> Result<Option<Head>, CallError> {
     let newest = current(kv).await?;
     if newest.revision == revision {
@@ -155,8 +155,8 @@
     }
 }
 
-// What can't be removed now is removed with a later change; nothing waits for it.
-async fn forget_old(kv: &dyn KeyValue, newest: Revision) {
+// Best effort: a failure leaves one more old revision in the service, which does no harm.
+async fn remove_old(kv: &dyn KeyValue, newest: Revision) {
     let Some(last) = newest.0.checked_sub(KEPT_REVISIONS) else { return };
     let key = history_key(Revision(last));
     let Ok(found) = kv.get(&key).await else { return };
--- a/crates/daemon/src/config_watch.rs
+++ b/crates/daemon/src/config_watch.rs
@@ -1,4 +1,4 @@
-//! Following the configuration: two nodes a zone watch the service, the others ask peers.
+//! Configuration updates: two nodes per zone watch the key-value service, the others ask peers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,18 +16,18 @@
     peers::{PeerMessage, PeerPort},
 };
 
-/// The number of nodes of a zone that watch the service.
+/// The number of nodes per zone that watch the service.
 const WATCHERS: usize = 2;
-/// How long one watch waits; less than the time-out of a call.
+/// The duration of one watch; shorter than the timeout of a call.
 const WATCH_WAIT: Duration = Duration::from_secs(3);
-/// The pause of a node that has nothing to do.
+/// The poll interval of a node that does not watch, and the base of the backoff.
 const PAUSE: Duration = Duration::from_millis(250);
-/// The longest pause after calls that failed.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// The peers that a node that is behind asks in one round.
-const ASKED: usize = 4;
+/// The maximum backoff after consecutive failures.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
+/// The number of peers that a node with an old revision asks in one round.
+const MAX_ASKED: usize = 4;
 
-/// A `FetchConfig` asks for the configuration if the receiver has a newer one.
+/// A `FetchConfig` is the request for the configuration if the receiver has a newer one.
 #[derive(Serialize, Deserialize)]
 pub struct FetchConfig {
     newer_than: Revision,
@@ -38,7 +38,7 @@
     type Reply = Option<Bytes>;
 }
 
-/// Registers what is done with a question for the configuration.
+/// Registers the handler of requests for the configuration.
 pub fn register(port: &mut PeerPort) {
     port.register(|cx: Arc<Context>, _from, fetch: FetchConfig| async move {
         if cx.in_force().revision <= fetch.newer_than {
@@ -52,14 +52,14 @@
 pub async fn watch_service(cx: Arc<Context>) {
     let Some(kv) = cx.key_value_for(Purpose::Config) else { return };
     let mut failures = 0;
-    // Each node looks once at its start: it may be the first, or its peers may be behind too.
-    let mut seen = read_service(&cx, kv.as_ref()).await;
+    // Each node reads once at its start: it may be the first, or its peers may have old revisions too.
+    let mut version = read_service(&cx, kv.as_ref()).await;
     loop {
-        let Some(after) = seen else {
+        let Some(after) = version else {
             failures += 1;
-            sleep(back_off(failures)).await;
+            sleep(backoff(failures)).await;
             if is_watcher(&cx) || cx.in_force().revision == Revision(0) {
-                seen = read_service(&cx, kv.as_ref()).await;
+                version = read_service(&cx, kv.as_ref()).await;
             }
             continue;
         };
@@ -68,8 +68,8 @@
             sleep(PAUSE).await;
             continue;
         }
-        seen = match kv.watch(HEAD_KEY, after, WATCH_WAIT).await {
-            Ok(seen) if seen.changes.is_empty() => {
+        version = match kv.watch(HEAD_KEY, after, WATCH_WAIT).await {
+            Ok(version) if version.changes.is_empty() => {
                 cx.note_contact();
                 Some(after)
             }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Asks peers for the configuration whenever one of them is ahead.
+/// Asks peers for the configuration whenever one of them has a newer revision.
 pub async fn catch_up(cx: Arc<Context>) {
     let mut highest = cx.highest_revision.subscribe();
     let mut failures = 0;
@@ -87,7 +87,8 @@
         let known = *highest.borrow_and_update();
         if known <= cx.in_force().revision {
             failures = 0;
-            // A node without any configuration asks on its own: it may have started in an outage.
+            // A node without a configuration asks its peers regularly: it may have started during an
+            // outage of the key-value service.
             if cx.in_force().revision == Revision(0) {
                 ask_peers(&cx).await;
                 sleep(PAUSE).await;
@@ -105,11 +106,11 @@
             read_service(&cx, kv.as_ref()).await;
         }
         failures += 1;
-        sleep(back_off(failures)).await;
+        sleep(backoff(failures)).await;
     }
 }
 
-/// Returns whether this node is one of those of its zone that call the platform for it.
+/// Returns whether this node is one of those that poll the platform for its zone.
 pub fn is_watcher(cx: &Context) -> bool {
     let members = cx.members.current();
     let own = (&cx.settings.node.name, cx.incarnation);
@@ -122,26 +123,27 @@
 async fn read_service(cx: &Context, kv: &dyn KeyValue) -> Option<Version> {
     let found = kv.get(HEAD_KEY).await.ok()?;
     cx.note_contact();
-    take(cx, &found.value).await;
+    apply_if_newer(cx, &found.value).await;
     Some(found.version)
 }
 
-// The one that told of the newest revision has it for sure; after it, peers near by are asked.
+// The peer that reported the newest revision certainly has it and is asked first, then peers in the
+// same zone.
 async fn ask_peers(cx: &Context) -> bool {
     let members = cx.members.current();
-    let teller = cx.revision_teller();
+    let source = cx.revision_source();
     let zone = &cx.settings.node.zone;
-    let mut asked: Vec<&Member> = members.iter().collect();
-    asked.sort_by_key(|member| {
+    let mut peers: Vec<&Member> = members.iter().collect();
+    peers.sort_by_key(|member| {
         let hash = member.incarnation.0 ^ cx.incarnation.0;
-        (Some(member.incarnation) != teller, member.zone != *zone, hash)
+        (Some(member.incarnation) != source, member.zone != *zone, hash)
     });
-    for member in asked.into_iter().take(ASKED) {
+    for member in peers.into_iter().take(MAX_ASKED) {
         let before = cx.in_force().revision;
         let fetch = FetchConfig { newer_than: before };
         let reply = cx.peers.send(cx, member.peers, Some(member.incarnation), fetch).await;
         let Ok(Some(value)) = reply else { continue };
-        take(cx, &value).await;
+        apply_if_newer(cx, &value).await;
         if before < cx.in_force().revision {
             return true;
         }
@@ -149,11 +151,11 @@
     false
 }
 
-// A late reply may carry an older revision than the one in force. Taking it would bring back
-// what an operator has replaced, so the comparison and the change are done under one lock.
-async fn take(cx: &Context, value: &Bytes) {
+// A late reply may contain an older revision than the one in force. Applying it would restore what an
+// operator has replaced, so the comparison and the change are done under one lock.
+async fn apply_if_newer(cx: &Context, value: &Bytes) {
     let Ok(head) = Head::decode(value) else { return };
-    let _gate = cx.config_gate.lock().await;
+    let _guard = cx.config_lock.lock().await;
     if head.revision <= cx.in_force().revision {
         return;
     }
@@ -164,7 +166,7 @@
     }
 }
 
-fn back_off(failures: u32) -> Duration {
-    let full = PAUSE.saturating_mul(1 << failures.min(6)).min(LONGEST_PAUSE);
+fn backoff(failures: u32) -> Duration {
+    let full = PAUSE.saturating_mul(1 << failures.min(6)).min(MAX_BACKOFF);
     full.mul_f64(0.5 + rand::random::<f64>() / 2.0)
 }
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of a node needs to reach.
+//! The state that all parts of a node share.
 
 use std::{
     collections::BTreeSet,
@@ -32,26 +32,26 @@
     settings::Settings,
 };
 
-/// How long a node that hears of nobody still names addresses to callers.
+/// How long a node without contact to the key-value service or any peer still gives addresses to callers.
 const ISOLATED_AFTER: Duration = Duration::from_secs(6);
 
-/// The capacity that a node tells of itself before it has weighed its load.
-const OWN_CAPACITY: u32 = 8;
+/// The capacity that a node advertises until it has computed its load.
+const INITIAL_CAPACITY: u32 = 8;
 
 /// An `InForce` is the configuration that a node acts on.
 #[derive(Clone, Debug, Default)]
 pub struct InForce {
-    /// Its revision; 0 before any was learnt.
+    /// Its revision; 0 before the first one is known.
     pub revision: Revision,
-    /// What it says.
+    /// Its content.
     pub deployment: Arc<Deployment>,
 }
 
-/// A `Context` is what every part of a node needs to reach.
+/// A `Context` is the state that all parts of a node share.
 pub struct Context {
-    /// The settings, with the ports that were really opened.
+    /// The settings, with the port numbers that were bound.
     pub settings: Settings,
-    /// This life of the node.
+    /// The incarnation of this process of the node.
     pub incarnation: Incarnation,
     /// The clock of all state machines.
     pub clock: Clock,
@@ -61,37 +61,37 @@
     pub answers: Answers,
     /// The known backend servers.
     pub backends: Backends,
-    /// The actor that queues and places.
+    /// The actor that queues and places requests.
     pub dispatcher: Address<Dispatcher>,
     /// The actor that knows which requests the node owns.
     pub keeper: Address<Keeper>,
-    /// The actor that learns the homes of idempotency keys.
+    /// The actor that finds the home nodes of idempotency keys.
     pub claimer: Address<Claimer>,
-    /// The tokens that were computed a second time, by cause.
+    /// The number of recomputed tokens by cause.
     pub recomputed: Recomputed,
     /// The claims of non-repeatable calls.
     pub ledger: Mutex<Ledger>,
-    /// What the teams have taken of their limits.
+    /// The teams' usage of their limits.
     pub team_limiter: Mutex<TeamLimiter>,
-    /// What the node counts and measures.
+    /// The node's metrics.
     pub meters: Arc<Meters>,
     /// The platform's key-value service, where one is set.
     pub key_value: Option<Arc<dyn KeyValue>>,
     /// The other nodes that are believed to be alive.
     pub members: Members,
-    /// Sends messages to other nodes.
+    /// The client that sends messages to other nodes.
     pub peers: PeerClient,
-    /// The highest configuration revision that any message told of.
+    /// The highest configuration revision that any message reported.
     pub highest_revision: watch::Sender<Revision>,
-    /// The VMs that are known to leave, of nodes and of backend servers; one never comes out.
+    /// The VMs of nodes and backend servers that are known to be leaving; entries are never removed.
     pub leaving_vms: ArcSwap<BTreeSet<VmName>>,
     pub(crate) notices: Mutex<Notices>,
-    pub(crate) leaving_news: mpsc::UnboundedSender<Vec<VmName>>,
+    pub(crate) leaving_updates: mpsc::UnboundedSender<Vec<VmName>>,
     pub(crate) budget: Arc<Mutex<CallBudget>>,
-    pub(crate) workers_gate: tokio::sync::Mutex<()>,
+    pub(crate) workers_lock: tokio::sync::Mutex<()>,
     pub(crate) document: ArcSwap<Bytes>,
-    pub(crate) config_gate: tokio::sync::Mutex<()>,
-    pub(crate) revision_teller: AtomicU64,
+    pub(crate) config_lock: tokio::sync::Mutex<()>,
+    pub(crate) revision_source: AtomicU64,
     pub(crate) last_contact: AtomicU64,
     pub(crate) has_peers: AtomicBool,
     pub(crate) leaving: AtomicBool,
@@ -106,17 +106,17 @@
         RequestId { origin: self.incarnation, sequence }
     }
 
-    /// Returns whether the node takes no new work any more.
+    /// Returns whether the node refuses new work.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Stops taking new work, for the rest of this life.
+    /// Refuses new work until the process ends.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
-    /// Returns whether the node's own VM is being taken back, within seconds.
+    /// Returns whether the cloud reclaims the node's own VM within seconds.
     pub fn is_reclaimed(&self) -> bool {
         self.reclaimed.load(Ordering::Acquire)
     }
@@ -126,7 +126,7 @@
         self.config.load_full()
     }
 
-    /// Returns what messages of this node say of their sender.
+    /// Returns the sender data of this node's messages.
     pub fn sender(&self) -> Sender {
         Sender {
             node: self.settings.node.name.clone(),
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Returns this node as others are told of it.
+    /// Returns this node as it advertises itself to others.
     pub fn own_member(&self) -> Member {
         let node = &self.settings.node;
         Member {
@@ -146,39 +146,39 @@
             callers: node.callers,
             peers: node.peers,
             leaving: self.is_leaving(),
-            capacity: OWN_CAPACITY,
+            capacity: INITIAL_CAPACITY,
             suspected: false,
         }
     }
 
-    /// Notes a revision that the life `teller` of a node has in force.
-    pub fn note_revision(&self, revision: Revision, teller: Incarnation) {
+    /// Records that the incarnation `source` of a node has a revision in force.
+    pub fn note_revision(&self, revision: Revision, source: Incarnation) {
         self.highest_revision.send_if_modified(|highest| {
-            let rises = *highest < revision;
-            if rises {
+            let is_newer = *highest < revision;
+            if is_newer {
                 *highest = revision;
-                self.revision_teller.store(teller.0, Ordering::Release);
+                self.revision_source.store(source.0, Ordering::Release);
             }
-            rises
+            is_newer
         });
     }
 
-    /// Notes that another node has answered or asked.
+    /// Records a message or reply of another node.
     pub fn note_peer(&self) {
         self.has_peers.store(true, Ordering::Release);
         self.note_contact();
     }
 
-    /// Notes that the key-value service has answered.
+    /// Records a reply of the key-value service.
     pub fn note_contact(&self) {
         self.last_contact.store(self.clock.now().0, Ordering::Release);
     }
 
-    /// Returns whether neither the key-value service nor any other node was heard of for long.
+    /// Returns whether the node has had no contact with the key-value service or any peer for long.
     ///
-    /// Such a node can't know whether a newer configuration is in force. Callers that it sends to
-    /// itself would be served by an old one, so it names no addresses until it hears again. A
-    /// node that has no others, and never had, goes on: callers have nowhere else to go.
+    /// Such a node can't know whether a newer configuration is in force. Callers that it directs to
+    /// itself might be served by an outdated one, so it gives no addresses until it has contact again.
+    /// A node that has never had a peer continues: its callers have no other node.
     pub fn is_isolated(&self) -> bool {
         if !self.has_peers.load(Ordering::Acquire) {
             return false;
@@ -187,7 +187,7 @@
         ISOLATED_AFTER < self.clock.now().since(last)
     }
 
-    /// Notes that VMs are leaving; returns those that were not known to.
+    /// Records leaving VMs; returns those that were not known to be leaving.
     pub fn note_leaving(
         &self,
         source: Source,
@@ -207,7 +207,7 @@
         new
     }
 
-    /// Returns the key-value service as one purpose may use it, where one is set.
+    /// Returns the key-value service, if configured, within the call budget of a purpose.
     pub fn key_value_for(&self, purpose: Purpose) -> Option<Arc<dyn KeyValue>> {
         let inner = self.key_value.clone()?;
         let budget = Arc::clone(&self.budget);
@@ -215,23 +215,23 @@
         Some(Arc::new(Budgeted::new(inner, budget, self.clock, purpose, meters)))
     }
 
-    /// Returns a hash of the VMs that are known to leave.
+    /// Returns a hash of the VMs that are known to be leaving.
     pub(crate) fn leaving_hash(&self) -> u64 {
         self.lock_notices().hash()
     }
 
-    /// Returns the VMs that are known to leave, but for those in `told`.
-    pub(crate) fn known_leaving(&self, told: &[VmName]) -> Vec<VmName> {
+    /// Returns the VMs that are known to be leaving, except for those in `received`.
+    pub(crate) fn known_leaving(&self, received: &[VmName]) -> Vec<VmName> {
         let notices = self.lock_notices();
-        notices.leaving().filter(|vm| !told.contains(vm)).cloned().collect()
+        notices.leaving().filter(|vm| !received.contains(vm)).cloned().collect()
     }
 
     fn lock_notices(&self) -> MutexGuard<'_, Notices> {
         self.notices.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    pub(crate) fn revision_teller(&self) -> Option<Incarnation> {
-        let teller = self.revision_teller.load(Ordering::Acquire);
-        (teller != 0).then_some(Incarnation(teller))
+    pub(crate) fn revision_source(&self) -> Option<Incarnation> {
+        let source = self.revision_source.load(Ordering::Acquire);
+        (source != 0).then_some(Incarnation(source))
     }
 }
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Following which backend servers there are and which of them take new work.
+//! Discovery of backend servers, and closing those whose VMs are leaving.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -22,12 +22,12 @@
     peers::{PeerMessage, PeerPort},
 };
 
-/// The pause between two looks at the list of VMs.
+/// The poll interval of the VM list.
 const LIST_PAUSE: Duration = Duration::from_secs(1);
-/// The pause between two looks at the VMs that are known to leave.
+/// The poll interval of the VMs that are known to be leaving.
 const LEAVING_PAUSE: Duration = Duration::from_millis(100);
 
-/// An `AskVms` asks another node for its list of VMs, unless it is the one with this hash.
+/// An `AskVms` is the request for another node's VM list unless it has this hash.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct AskVms {
     known: u64,
@@ -38,19 +38,19 @@
     type Reply = Option<Vec<ListedVm>>;
 }
 
-/// Registers what is done when another node asks for the list of VMs.
+/// Registers the handler of requests for the VM list.
 pub fn register(port: &mut PeerPort) {
-    port.register(|cx: Arc<Context>, _from, asked: AskVms| async move {
+    port.register(|cx: Arc<Context>, _from, req: AskVms| async move {
         let listed = cx.backends.listed();
-        (asked.known != hash_of(&listed)).then_some(listed)
+        (req.known != hash_of(&listed)).then_some(listed)
     });
 }
 
-/// Keeps the backend servers those of the list of VMs.
+/// Keeps the backend servers up to date with the VM list.
 ///
-/// Two nodes a zone ask the platform, the others ask a node of their zone, so that the list's
-/// load does not grow with the number of nodes. A list that still shows a dead VM does no harm:
-/// its calls fail at the identity check or on connecting, and are placed elsewhere.
+/// Two nodes per zone poll the platform and the others ask a node of their zone, so that the load on the
+/// list service does not grow with the number of nodes. A list that still contains a dead VM does no
+/// harm: calls to it fail on connecting or at the identity check, and are placed elsewhere.
 pub async fn follow(cx: Arc<Context>) {
     let address = cx.settings.platform.vm_list;
     let list =
@@ -60,7 +60,7 @@
             Some(list) if is_watcher(&cx) => list.list().await.map(Some),
             _ => ask_peer(&cx).await,
         };
-        // During an outage of the list the last one stays.
+        // During an outage of the list service the last list stays in use.
         if let Ok(Some(listed)) = listed
             && cx.backends.set_listed(listed)
         {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Closes the backend servers of VMs that are known to leave, for good.
+/// Closes the backend servers of leaving VMs permanently.
 pub async fn close_leaving(cx: Arc<Context>) {
     let mut closed: Arc<BTreeSet<VmName>> = Arc::default();
     loop {
@@ -96,13 +96,13 @@
 async fn ask_peer(cx: &Context) -> Result<Option<Vec<ListedVm>>, CallError> {
     let members = cx.members.current();
     let zone = &cx.settings.node.zone;
-    let near: Vec<_> = members.iter().filter(|member| member.zone == *zone).collect();
-    let Some(member) = near.choose(&mut rand::rng()) else { return Ok(None) };
-    let asked = AskVms { known: hash_of(&cx.backends.listed()) };
-    cx.peers.send(cx, member.peers, Some(member.incarnation), asked).await
+    let same_zone: Vec<_> = members.iter().filter(|member| member.zone == *zone).collect();
+    let Some(member) = same_zone.choose(&mut rand::rng()) else { return Ok(None) };
+    let req = AskVms { known: hash_of(&cx.backends.listed()) };
+    cx.peers.send(cx, member.peers, Some(member.incarnation), req).await
 }
 
 fn hash_of(listed: &[ListedVm]) -> u64 {
-    // A list holds only names and addresses, for which serialization cannot fail.
+    // A list contains only names and addresses, for which serialization cannot fail.
     xxh3_64(&rmp_serde::to_vec(listed).unwrap_or_default())
 }
--- a/crates/daemon/src/dispatcher.rs
+++ b/crates/daemon/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The actor that feeds admission and placement and carries out what they decide.
+//! The actor that runs admission and placement and executes their decisions.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,7 +18,7 @@
 
 use crate::clock::Clock;
 
-/// A `Dispatcher` holds the queues and the view of the engines of one node.
+/// A `Dispatcher` is the actor with one node's queues and its view of the engines.
 pub struct Dispatcher {
     clock: Clock,
     random: Pcg64Mcg,
@@ -37,41 +37,41 @@
     start: oneshot::Sender<Start>,
 }
 
-/// A `Verdict` tells whether a request is accepted.
+/// A `Verdict` is the admission decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The request is accepted under this ticket.
     Accepted(Ticket),
-    /// The request is refused; the caller may come back after the given time.
+    /// The request is refused; the caller may retry after the given time.
     Refused(Duration),
 }
 
-/// A `Start` tells an accepted request where to run.
+/// A `Start` is the placement decision for an accepted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
     /// Run on this engine.
     On(WorkerKey),
-    /// No engine takes work now; ask again soon.
+    /// No engine accepts work now; submit again after a pause.
     NoWorker,
     /// The deadline has passed.
     Expired,
 }
 
-/// A `Submit` asks for a request to be queued and placed.
+/// A `Submit` is the message that queues and places a request.
 pub struct Submit {
     /// The service.
     pub service: ServiceName,
-    /// What admission needs to know.
+    /// The input of admission.
     pub admission: AdmissionRequest,
-    /// What placement needs to know.
+    /// The input of placement.
     pub req: PlacementRequest,
-    /// Gets the verdict.
+    /// Receives the admission decision.
     pub accepted: oneshot::Sender<Verdict>,
-    /// Gets the place once there is one.
+    /// Receives the placement decision once there is one.
     pub start: oneshot::Sender<Start>,
 }
 
-/// A `Finished` tells that a started request no longer runs.
+/// A `Finished` is the message that a started request has ended.
 pub struct Finished {
     /// The service.
     pub service: ServiceName,
@@ -81,7 +81,7 @@
     pub worker: Option<WorkerKey>,
 }
 
-/// A `FirstToken` tells that a started request got its first token.
+/// A `FirstToken` is the message that a started request has received its first token.
 pub struct FirstToken {
     /// The service.
     pub service: ServiceName,
@@ -89,7 +89,7 @@
     pub ticket: Ticket,
 }
 
-/// A `SetWorkers` tells which engines a service has and who shares them.
+/// A `SetWorkers` is the message that sets a service's engines and the teams' shares of them.
 pub struct SetWorkers {
     /// The service.
     pub service: ServiceName,
@@ -97,34 +97,34 @@
     pub workers: Vec<WorkerView>,
     /// The shares of the teams.
     pub shares: BTreeMap<TeamName, u32>,
-    /// What weighs how much in placement.
+    /// The weights of the placement cost.
     pub weights: Weights,
 }
 
-/// A `SetNodes` tells how many nodes send work to the engines, this one included.
+/// A `SetNodes` is the message that sets how many nodes, this one included, send work to the engines.
 pub struct SetNodes(pub usize);
 
-/// A `Report` is an engine's report of its load.
+/// A `Report` is the message with an engine's load report.
 pub struct Report {
     /// The service.
     pub service: ServiceName,
     /// The engine.
     pub key: WorkerKey,
-    /// What it reported.
+    /// The load report.
     pub report: LoadReport,
 }
 
-/// `CacheChanges` tell which blocks an engine's prefix cache took in or dropped.
+/// `CacheChanges` are the blocks that an engine's prefix cache has added or evicted.
 pub struct CacheChanges {
     /// The service.
     pub service: ServiceName,
     /// The engine.
     pub key: WorkerKey,
-    /// Each block and whether it is held now.
+    /// Each block and whether it is now cached.
     pub changes: Vec<(u64, bool)>,
 }
 
-/// A `Close` tells that an engine's VM is leaving and takes no new work.
+/// A `Close` is the message that an engine's VM is leaving and gets no new work.
 pub struct Close {
     /// The service.
     pub service: ServiceName,
@@ -132,21 +132,21 @@
     pub key: WorkerKey,
 }
 
-/// A `Queues` asks how many requests wait and run.
+/// A `Queues` is the query for the queue depths of all services.
 pub struct Queues;
 
-/// A `QueueDepth` tells how many requests of a service wait and run at one node.
+/// A `QueueDepth` is the number of a service's requests that wait and run at one node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueDepth {
     /// The service.
     pub service: ServiceName,
-    /// The requests that wait for an engine.
+    /// The number of requests that wait for an engine.
     pub waiting: usize,
-    /// The requests that run.
+    /// The number of requests that run.
     pub running: usize,
 }
 
-/// A `Tick` lets time pass.
+/// A `Tick` is the message that runs the schedulers' timers.
 pub struct Tick;
 
 impl Dispatcher {
@@ -245,8 +245,8 @@
     async fn handle(&mut self, set: SetWorkers, _cx: &mut Context<Self>) {
         let nodes = self.nodes;
         let service = self.service(&set.service);
-        // Waiting and running requests live in the scheduler, so that one with other weights may only
-        // take its place while it holds none.
+        // The scheduler holds the waiting and running requests, so it can only be replaced by one with
+        // other weights while it is idle.
         if service.weights != set.weights && service.scheduler.is_idle() {
             service.scheduler = new_scheduler(&set.weights, nodes);
             service.weights = set.weights;
@@ -272,9 +272,9 @@
 impl Handler<Report> for Dispatcher {
     type Return = ();
 
-    async fn handle(&mut self, told: Report, _cx: &mut Context<Self>) {
-        self.step(&told.service, |scheduler, now, random| {
-            scheduler.report(now, told.key, told.report, random)
+    async fn handle(&mut self, msg: Report, _cx: &mut Context<Self>) {
+        self.step(&msg.service, |scheduler, now, random| {
+            scheduler.report(now, msg.key, msg.report, random)
         });
     }
 }
@@ -282,10 +282,10 @@
 impl Handler<CacheChanges> for Dispatcher {
     type Return = ();
 
-    async fn handle(&mut self, told: CacheChanges, _cx: &mut Context<Self>) {
-        let scheduler = &mut self.service(&told.service).scheduler;
-        for (block, held) in told.changes {
-            scheduler.note_cache(told.key, block, held);
+    async fn handle(&mut self, msg: CacheChanges, _cx: &mut Context<Self>) {
+        let scheduler = &mut self.service(&msg.service).scheduler;
+        for (block, held) in msg.changes {
+            scheduler.note_cache(msg.key, block, held);
         }
     }
 }
--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/duty.rs
@@ -1,4 +1,4 @@
-//! Duties that one node at a time carries out, held by a lease of the key-value service.
+//! Duties: work that one node at a time does, elected by a lease of the key-value service.
 
 use std::{
     sync::{Arc, Mutex},
@@ -18,14 +18,14 @@
 
 use crate::context::Context;
 
-/// The pause between two looks at whether a call is due.
+/// The pause between two checks of whether a lease call is due.
 const PAUSE: Duration = Duration::from_millis(100);
-/// The nodes that try to hold a duty.
+/// The number of nodes that compete for a duty.
 const CANDIDATES: usize = 2;
-/// The prefix of the keys of duties.
+/// The key prefix of duties.
 const PREFIX: &str = "duty/";
 
-/// A `Duty` is one duty that this node holds or tries to hold.
+/// A `Duty` is one duty that this node holds or competes for.
 pub struct Duty {
     cx: Arc<Context>,
     key: String,
@@ -40,7 +40,7 @@
 }
 
 impl Duty {
-    /// Starts to try to hold the duty `name`, in one zone's part where a zone is given.
+    /// Starts to compete for the duty `name`, or for one zone's part of it if a zone is given.
     ///
     /// Without a key-value service the duty is never held.
     pub fn start(
@@ -55,11 +55,11 @@
         };
         let lease = Mutex::new(Lease::new(cx.clock.now(), cx.incarnation, options));
         let duty = Arc::new(Duty { cx: Arc::clone(cx), key, zone, lease });
-        let task = tokio::spawn(keep(Arc::clone(&duty)));
+        let task = tokio::spawn(run_lease(Arc::clone(&duty)));
         DutyTask { duty, task }
     }
 
-    /// Returns the right to act now, if there is one; ask before each order.
+    /// Returns the right to act now, if this node has it; to be checked before each action.
     pub fn hold(&self) -> Option<Hold> {
         self.lock(|lease| lease.hold(self.cx.clock.now()))
     }
@@ -75,7 +75,7 @@
         });
         let others = others.map(|member| member.incarnation);
         let zone = &self.cx.settings.node.zone;
-        // A zone without a node still has its part of the duty done, by nodes elsewhere.
+        // Nodes of other zones do the part of a zone without nodes.
         let mut own_zone = self.zone.as_ref().is_none_or(|of| of == zone);
         own_zone |= others.clone().next().is_none();
         if own_zone && is_candidate(&self.key, self.cx.incarnation, others, CANDIDATES) {
@@ -132,7 +132,7 @@
     }
 }
 
-async fn keep(duty: Arc<Duty>) {
+async fn run_lease(duty: Arc<Duty>) {
     let Some(kv) = duty.cx.key_value_for(Purpose::Lease) else { return };
     loop {
         let wanted = duty.wanted();
@@ -151,7 +151,7 @@
     LeaseReply::Failed(error.ran)
 }
 
-// A value that names nobody is nobody's own: the duty counts as held until the key vanishes.
+// A malformed value counts as another holder's, so that the duty stays taken until the key expires.
 fn holder_of(value: &Bytes) -> Holder {
     let held = std::str::from_utf8(value).ok().and_then(Holder::decode);
     held.unwrap_or(Holder { incarnation: Incarnation(0), lease: 0 })
--- a/crates/daemon/src/errors.rs
+++ b/crates/daemon/src/errors.rs
@@ -1,8 +1,8 @@
-//! Why a node cannot start.
+//! The errors of a node's start.
 
 use std::{error, fmt};
 
-/// A `NodeError` tells which step of a node's start failed.
+/// A `NodeError` is the step of a node's start that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeError {
     /// The settings could not be read.
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The duty that buys VMs and gives them back, held by one node at a time.
+//! The duty of buying and releasing VMs, held by one node at a time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -32,21 +32,21 @@
     notices,
 };
 
-/// The key of the plan.
+/// The key under which the key-value service stores the fleet plan.
 pub const PLAN_KEY: &str = "fleet/plan";
 /// The name of the duty.
 const DUTY: &str = "fleet";
-/// The pause between two looks at the fleet.
+/// The pause between two rounds of fleet management.
 const PAUSE: Duration = Duration::from_secs(1);
-/// How long a drained engine may take to become empty.
+/// The maximum time that an engine gets to finish its requests before its VM is released.
 const DRAIN_LIMIT: Duration = Duration::from_secs(600);
-/// Thousandths of a cent in a thousandth of the currency unit.
+/// The number of price units of the cloud API (thousandths of a cent) in a thousandth of the currency unit.
 const PRICE_UNIT: u64 = 100;
 
-/// The plan's key no longer holds what this node wrote there last, or may not.
+/// The stored plan differs, or may differ, from what this node wrote last.
 struct PlanLost;
 
-/// What the holder of the duty works with until it loses the duty or the plan.
+/// The state of the duty's holder until it loses the duty or the plan.
 struct Holder {
     cx: Arc<Context>,
     duty: Arc<Duty>,
@@ -54,11 +54,11 @@
     cloud: HttpCloud,
     planner: FleetPlanner,
     version: Version,
-    seen: BTreeSet<VmName>,
-    draining: BTreeMap<VmName, Stamp>,
+    listed_before: BTreeSet<VmName>,
+    draining_since: BTreeMap<VmName, Stamp>,
 }
 
-/// Buys and gives back VMs while this node holds the duty.
+/// Buys and releases VMs while this node holds the duty.
 pub async fn follow(cx: Arc<Context>) {
     let Some(address) = cx.settings.platform.cloud else { return };
     let Some(key_value) = cx.key_value_for(Purpose::Fleet) else { return };
@@ -66,8 +66,8 @@
     let mut holder: Option<Holder> = None;
     loop {
         sleep(PAUSE).await;
-        // A lease that is held for nothing would cost calls of the key-value service for ever.
-        if managed(&cx.in_force().deployment).is_empty() {
+        // Without managed_engines engines, holding the lease would only cost calls of the key-value service.
+        if managed_engines(&cx.in_force().deployment).is_empty() {
             (task, holder) = (None, None);
             continue;
         }
@@ -88,8 +88,8 @@
     }
 }
 
-// A service whose engines have fixed addresses is run by its operators; nothing is bought for it.
-fn managed(deployment: &Deployment) -> Vec<(&ServiceName, &EnginesConfig)> {
+// No VMs are bought for a service whose engines have fixed addresses: its operators run those.
+fn managed_engines(deployment: &Deployment) -> Vec<(&ServiceName, &EnginesConfig)> {
     let engines = deployment.engines.iter().filter(|(service, _)| {
         let cfg = deployment.services.get(*service);
         cfg.is_some_and(|cfg| cfg.backends.is_empty())
@@ -105,8 +105,8 @@
         cloud: HttpCloud,
     ) -> Option<Holder> {
         let found = key_value.get(PLAN_KEY).await.ok()?;
-        // An absent plan is an empty one. One that can't be read is left alone: acting on an empty
-        // plan would buy the whole fleet a second time.
+        // An absent plan counts as empty. A plan that can't be parsed is left as it is: acting on an
+        // empty plan instead would buy the whole fleet a second time.
         let plan = match found.version {
             Version(0) => FleetPlan::default(),
             _ if found.value.is_empty() => FleetPlan::default(),
@@ -125,8 +125,8 @@
             cloud,
             planner: FleetPlanner::new(FleetOptions::default(), plan),
             version: found.version,
-            seen: BTreeSet::new(),
-            draining: BTreeMap::new(),
+            listed_before: BTreeSet::new(),
+            draining_since: BTreeMap::new(),
         })
     }
 
@@ -134,22 +134,22 @@
         let Ok(offers) = self.cloud.offers().await else { return Ok(()) };
         let deployment = Arc::clone(&self.cx.in_force().deployment);
         self.feed(FleetEvent::Offers(allowed(&deployment, offers))).await?;
-        for (service, cfg) in managed(&deployment) {
+        for (service, cfg) in managed_engines(&deployment) {
             self.feed(FleetEvent::Need(service.clone(), cfg.least)).await?;
         }
-        self.look_at_vms(&deployment).await?;
+        self.observe_vms(&deployment).await?;
         for action in self.feed(FleetEvent::Tick).await? {
             self.carry_out(action).await?;
         }
-        self.release_empty().await
+        self.release_idle().await
     }
 
-    async fn look_at_vms(&mut self, deployment: &Deployment) -> Result<(), PlanLost> {
-        let managed: Vec<&ServiceName> =
-            managed(deployment).into_iter().map(|(service, _)| service).collect();
+    async fn observe_vms(&mut self, deployment: &Deployment) -> Result<(), PlanLost> {
+        let managed_engines: Vec<&ServiceName> =
+            managed_engines(deployment).into_iter().map(|(service, _)| service).collect();
         let mut listed = Vec::new();
         for vm in self.cx.backends.listed() {
-            if vm.service.as_ref().is_some_and(|service| managed.contains(&service)) {
+            if vm.service.as_ref().is_some_and(|service| managed_engines.contains(&service)) {
                 listed.push(vm.vm);
             }
         }
@@ -165,11 +165,12 @@
                 self.feed(FleetEvent::Leaving(vm.clone())).await?;
             }
             if listed.contains(&vm) {
-                self.seen.insert(vm.clone());
+                self.listed_before.insert(vm.clone());
                 self.feed(FleetEvent::Ready(vm)).await?;
-            } else if self.seen.remove(&vm) {
-                // The list shows new VMs late; only one that it has shown can be gone from it.
-                self.draining.remove(&vm);
+            } else if self.listed_before.remove(&vm) {
+                // The VM list shows new VMs with a delay, so only a VM that was listed before counts as
+                // removed.
+                self.draining_since.remove(&vm);
                 self.feed(FleetEvent::Removed(vm)).await?;
             }
         }
@@ -179,33 +180,33 @@
         Ok(())
     }
 
-    // Hands an event to the planner and writes the plan where it has changed, before anything is
-    // done that rests on the change.
+    // Passes an event to the planner and stores a changed plan before any action that depends on the
+    // change.
     async fn feed(&mut self, event: FleetEvent) -> Result<Vec<FleetAction>, PlanLost> {
         let mut actions = self.planner.handle(self.cx.clock.now(), event);
         if !matches!(actions.first(), Some(FleetAction::Save(_))) {
             return Ok(actions);
         }
         let FleetAction::Save(plan) = actions.remove(0) else { return Ok(actions) };
-        // A plan holds names and numbers only, for which serialization cannot fail.
+        // A plan contains only names and numbers, for which serialization cannot fail.
         let text = Bytes::from(serde_json::to_vec(&plan).unwrap_or_default());
         let written = self.key_value.put_if(PLAN_KEY, self.version, text, None).await;
-        // After a lost reply the write may or may not have landed, and after a conflict another
-        // node has planned. Either way the plan in memory counts for nothing: it is read anew.
+        // After a lost reply the outcome of the write is unknown, and after a conflict another node has
+        // written a plan. In both cases the plan in memory is discarded and read again.
         let Ok(CasOutcome::Written(version)) = written else { return Err(PlanLost) };
         self.version = version;
         Ok(actions)
     }
 
     async fn carry_out(&mut self, action: FleetAction) -> Result<(), PlanLost> {
-        // The lease may have lapsed since the round began.
+        // The lease may have expired since the round began.
         if self.duty.hold().is_none() {
             return Err(PlanLost);
         }
         match action {
             FleetAction::Buy(slot) => self.buy(slot).await,
             FleetAction::Drain(vm) => {
-                notices::take(&self.cx, Source::Notice, vec![vm]);
+                notices::record_leaving(&self.cx, Source::Notice, vec![vm]);
                 Ok(())
             }
             FleetAction::ReleaseOrphan(vm) => {
@@ -234,7 +235,8 @@
             Err(error) => {
                 let refused = matches!(error.fault, CallFault::Refused { status: 400..500 });
                 if !refused && error.ran != Ran::No {
-                    // It may have been bought; the same token finds out.
+                    // The outcome is unknown. The retry sends the same token, so that a VM that was
+                    // bought is not bought twice.
                     return Ok(());
                 }
                 let place = &slot.place;
@@ -244,9 +246,9 @@
         }
     }
 
-    // An engine on a VM that is given back first ends what it runs. What is taken back by the
-    // cloud is released as well: the bill then ends a little earlier.
-    async fn release_empty(&mut self) -> Result<(), PlanLost> {
+    // An engine finishes its requests before its VM is released. A VM that the cloud reclaims is
+    // released as well, which ends its billing a little earlier.
+    async fn release_idle(&mut self) -> Result<(), PlanLost> {
         let now = self.cx.clock.now();
         let slots = self.planner.plan().slots.values();
         let leaving = slots.filter_map(|slot| match &slot.state {
@@ -255,28 +257,28 @@
         });
         let leaving: Vec<VmName> = leaving.collect();
         for vm in leaving {
-            let since = *self.draining.entry(vm.clone()).or_insert(now);
-            if now < since + DRAIN_LIMIT && !self.is_empty(&vm).await {
+            let since = *self.draining_since.entry(vm.clone()).or_insert(now);
+            if now < since + DRAIN_LIMIT && !self.is_idle(&vm).await {
                 continue;
             }
             if self.duty.hold().is_none() {
                 return Err(PlanLost);
             }
             let released = self.cloud.release(&vm).await;
-            let gone = match &released {
+            let released_or_unknown = match &released {
                 Ok(()) => true,
                 Err(error) => error.fault == CallFault::Refused { status: 404 },
             };
-            if gone {
+            if released_or_unknown {
                 tracing::info!(event = Event::VmReleased.number(), %vm);
-                self.draining.remove(&vm);
+                self.draining_since.remove(&vm);
                 self.feed(FleetEvent::Removed(vm)).await?;
             }
         }
         Ok(())
     }
 
-    async fn is_empty(&self, vm: &VmName) -> bool {
+    async fn is_idle(&self, vm: &VmName) -> bool {
         let mut idle = true;
         for (_, backend) in self.cx.backends.close(vm) {
             let BackendClient::Engine(engine) = backend.client else { continue };
@@ -289,7 +291,7 @@
 
 fn allowed(deployment: &Deployment, offers: Vec<Offer>) -> Vec<FleetOffer> {
     let mut classes = BTreeSet::new();
-    for (_, cfg) in managed(deployment) {
+    for (_, cfg) in managed_engines(deployment) {
         classes.extend(cfg.vm_classes.iter().map(|class| class.to_string()));
     }
     let mut allowed = Vec::new();
@@ -300,12 +302,12 @@
         }
         let described = deployment.vm_classes.iter().find(|(name, _)| name.as_str() == class);
         if let Some((_, cfg)) = described {
-            let highest = match market {
+            let max_price = match market {
                 Market::Reclaimable => cfg.reclaimable_price,
                 Market::OnDemand => cfg.on_demand_price,
             };
-            let too_dear = highest.is_none_or(|most| u64::from(most.0) * PRICE_UNIT < price);
-            if too_dear || !cfg.zones.is_empty() && !cfg.zones.contains(&zone) {
+            let too_expensive = max_price.is_none_or(|max| u64::from(max.0) * PRICE_UNIT < price);
+            if too_expensive || !cfg.zones.is_empty() && !cfg.zones.contains(&zone) {
                 continue;
             }
         }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The node: the request pipeline, the ports for callers, peers and operators, and the actors.
+//! The daemon of a node: request handling, the ports for callers, peers and operators, and the actors.
 
 pub mod answers;
 pub mod backends;
--- a/crates/daemon/src/loads.rs
+++ b/crates/daemon/src/loads.rs
@@ -1,4 +1,4 @@
-//! The duty that follows the load and the caches of the engines.
+//! The task that polls the engines' load and prefix caches.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -18,38 +18,38 @@
 
 /// The pause between two rounds of reports.
 const REPORT_PAUSE: Duration = Duration::from_millis(250);
-/// How far an engine's report is taken to lag behind.
+/// The assumed age of an engine's report when it arrives.
 const REPORT_LAG: Duration = Duration::from_millis(500);
-/// The longest time that an engine may take to report.
+/// The timeout of a report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What one engine told.
-struct Told {
+/// The replies of one engine.
+struct EngineReport {
     service: ServiceName,
     key: WorkerKey,
     load: Option<EngineLoad>,
     events: Vec<CacheEvent>,
 }
 
-/// Follows the engines for as long as the node runs.
+/// Polls the engines as long as the node runs.
 pub async fn follow(cx: Arc<Context>) {
     let mut next_events: BTreeMap<WorkerKey, u64> = BTreeMap::new();
     loop {
         tokio::time::sleep(REPORT_PAUSE).await;
         let nodes = cx.members.current().iter().filter(|member| !member.leaving).count() + 1;
         let _ = cx.dispatcher.send(SetNodes(nodes)).await;
-        let mut round = ask_all(&cx, &next_events);
-        let mut heard = BTreeMap::new();
-        while let Some(told) = round.join_next().await {
-            let Ok(told) = told else { continue };
-            let after = next_events.get(&told.key).copied().unwrap_or(0);
-            heard.insert(told.key, pass_on(&cx, told, after).await);
+        let mut round = poll_all(&cx, &next_events);
+        let mut received = BTreeMap::new();
+        while let Some(report) = round.join_next().await {
+            let Ok(report) = report else { continue };
+            let after = next_events.get(&report.key).copied().unwrap_or(0);
+            received.insert(report.key, forward(&cx, report, after).await);
         }
-        next_events = heard;
+        next_events = received;
     }
 }
 
-fn ask_all(cx: &Context, next_events: &BTreeMap<WorkerKey, u64>) -> JoinSet<Told> {
+fn poll_all(cx: &Context, next_events: &BTreeMap<WorkerKey, u64>) -> JoinSet<EngineReport> {
     let mut round = JoinSet::new();
     let in_force = cx.in_force();
     for (service, cfg) in &in_force.deployment.services {
@@ -59,15 +59,20 @@
         for (key, backend) in cx.backends.of(service) {
             let BackendClient::Engine(engine) = backend.client else { continue };
             let after = next_events.get(&key).copied().unwrap_or(0);
-            round.spawn(ask(engine, service.clone(), key, after));
+            round.spawn(poll(engine, service.clone(), key, after));
         }
     }
     round
 }
 
-// An engine that is silent keeps only its own question waiting, and that not for long: a round
-// that hung on it would make the loads of all others old.
-async fn ask(engine: Arc<dyn Engine>, service: ServiceName, key: WorkerKey, after: u64) -> Told {
+// The timeouts keep an engine that doesn't reply from delaying the round: otherwise the loads of all
+// other engines would become outdated.
+async fn poll(
+    engine: Arc<dyn Engine>,
+    service: ServiceName,
+    key: WorkerKey,
+    after: u64,
+) -> EngineReport {
     let load = tokio::time::timeout(REPORT_TIMEOUT, engine.load()).await;
     let load = load.ok().and_then(Result::ok);
     let mut events = Vec::new();
@@ -75,12 +80,12 @@
         let answer = tokio::time::timeout(REPORT_TIMEOUT, engine.cache_events(after)).await;
         events = answer.ok().and_then(Result::ok).unwrap_or_default();
     }
-    Told { service, key, load, events }
+    EngineReport { service, key, load, events }
 }
 
-// Returns the number of the engine's next cache event.
-async fn pass_on(cx: &Context, told: Told, after: u64) -> u64 {
-    let Told { service, key, load, events } = told;
+// Forwards the replies to the dispatcher; returns the number of the engine's next cache event.
+async fn forward(cx: &Context, report: EngineReport, after: u64) -> u64 {
+    let EngineReport { service, key, load, events } = report;
     if let Some(load) = load {
         let report = LoadReport {
             running: load.running,
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -1,4 +1,4 @@
-//! The nodes that a node believes to be alive.
+//! The nodes that a node considers alive.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-/// A `Member` is one life of a node, as others are told of it.
+/// A `Member` is one incarnation of a node, as it is advertised to others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The node.
     pub node: NodeName,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// The VM that it runs on.
     pub vm: VmName,
@@ -22,19 +22,19 @@
     pub callers: SocketAddr,
     /// Where other nodes connect.
     pub peers: SocketAddr,
-    /// Whether it takes no new work; once set for a life, never cleared.
+    /// Whether it refuses new work; never cleared within an incarnation.
     pub leaving: bool,
-    /// Its free capacity in relation to other nodes', for the order of callers' addresses.
+    /// Its free capacity relative to other nodes', for the order of the addresses given to callers.
     #[serde(default)]
     pub capacity: u32,
-    /// Whether this node has not heard of it for a while.
+    /// Whether it has been silent and is suspected to be dead.
     #[serde(skip)]
     pub suspected: bool,
 }
 
-/// `Members` are the lives of other nodes that are believed to be alive, leaving ones included.
+/// `Members` are the other nodes' incarnations that are considered alive, including leaving ones.
 ///
-/// This is hearsay: it may be old, and nothing that must be safe rests on it.
+/// The list comes from gossip and may be outdated; no safety property may depend on it.
 pub struct Members {
     current: ArcSwap<Vec<Member>>,
     changed: watch::Sender<u64>,
@@ -47,7 +47,7 @@
 }
 
 impl Members {
-    /// Returns the present members, this node left out, in the order of their names.
+    /// Returns the current members without this node, ordered by name.
     pub fn current(&self) -> Arc<Vec<Member>> {
         self.current.load_full()
     }
@@ -57,7 +57,7 @@
         self.current.load().iter().find(|member| member.incarnation == incarnation).cloned()
     }
 
-    /// Puts new members in place of the present ones.
+    /// Replaces the members.
     pub fn replace(&self, mut members: Vec<Member>) {
         members.sort_by(|a, b| a.node.cmp(&b.node));
         if **self.current.load() == members {
@@ -67,7 +67,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Returns a receiver that sees each change.
+    /// Returns a receiver that is notified of each change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
--- a/crates/daemon/src/membership_actor.rs
+++ b/crates/daemon/src/membership_actor.rs
@@ -1,4 +1,4 @@
-//! The actor that feeds membership and carries out what it decides.
+//! The actor that runs the membership protocol and sends its messages.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,45 +21,44 @@
     peers::{GossipMessage, PeerPort},
 };
 
-/// The pause between two looks at whether a round is due.
-const TICK: Duration = Duration::from_millis(20);
-/// The pause between two greetings of an address that the node was started with.
-const GREET_PAUSE: Duration = Duration::from_millis(250);
-/// The longest pause between two greetings of an address that doesn't answer.
-const GREET_PAUSE_MAX: Duration = Duration::from_secs(10);
-
-/// The longest time after which the view of members is made anew.
+/// The pause between two checks of whether a gossip round is due.
+const TICK_PAUSE: Duration = Duration::from_millis(20);
+/// The initial pause between two join messages to a seed address.
+const JOIN_PAUSE: Duration = Duration::from_millis(250);
+/// The maximum pause between two join messages to a seed address that doesn't answer.
+const JOIN_PAUSE_MAX: Duration = Duration::from_secs(10);
+/// The minimum pause between two periodic publications of the member list.
 const PUBLISH_PAUSE: Duration = Duration::from_millis(100);
 
-/// A `MembershipActor` holds the machine of one node.
+/// A `MembershipActor` is the actor with the membership state machine of one node.
 pub struct MembershipActor {
     cx: Arc<Context>,
     machine: Membership<Member>,
     random: Pcg64Mcg,
     headroom: Headroom,
-    weighed: Stamp,
+    load_updated: Stamp,
     published: Stamp,
-    greetings: BTreeMap<SocketAddr, Greeting>,
+    join_attempts: BTreeMap<SocketAddr, JoinAttempt>,
 }
 
-struct Greeting {
+struct JoinAttempt {
     due: Stamp,
     pause: Duration,
 }
 
-/// A `Heard` is a message of another life, or a reply to one of ours.
-pub struct Heard {
-    /// The life that sent it.
+/// A `Received` is a gossip message of another incarnation, or a reply to one of ours.
+pub struct Received {
+    /// The incarnation that sent it.
     pub from: Incarnation,
-    /// What it tells.
+    /// Its gossip.
     pub gossip: Gossip<Member>,
 }
 
-/// A `Pass` lets time pass.
-pub struct Pass;
+/// A `Tick` is the message that runs the timers of membership.
+pub struct Tick;
 
 impl MembershipActor {
-    /// Returns an actor that knows of this node alone.
+    /// Returns an actor that knows only this node.
     pub fn new(cx: Arc<Context>) -> MembershipActor {
         let now = cx.clock.now();
         let own = cx.own_member();
@@ -73,38 +72,46 @@
         };
         let machine = Membership::new(now, record, MembershipOptions::default());
         let random = Pcg64Mcg::seed_from_u64(cx.incarnation.0);
-        let mut greetings = BTreeMap::new();
+        let mut join_attempts = BTreeMap::new();
         for seed in &cx.settings.node.seeds {
             if *seed != cx.settings.node.peers {
-                greetings.insert(*seed, Greeting { due: now, pause: GREET_PAUSE });
+                join_attempts.insert(*seed, JoinAttempt { due: now, pause: JOIN_PAUSE });
             }
         }
         let headroom = Headroom::default();
-        MembershipActor { cx, machine, random, headroom, weighed: now, published: now, greetings }
+        MembershipActor {
+            cx,
+            machine,
+            random,
+            headroom,
+            load_updated: now,
+            published: now,
+            join_attempts,
+        }
     }
 
-    fn pass(&mut self, address: &WeakAddress<MembershipActor>) {
+    fn tick(&mut self, address: &WeakAddress<MembershipActor>) {
         let now = self.cx.clock.now();
         let mut sends = Vec::new();
         if self.cx.is_leaving() {
             sends.extend(self.machine.leave(&mut self.random));
         }
-        self.weigh(now);
+        self.update_capacity(now);
         sends.extend(self.machine.tick(now, &mut self.random));
         for send in sends {
             self.send(send, address);
         }
-        self.greet(now, address);
+        self.send_joins(now, address);
         if PUBLISH_PAUSE <= now.since(self.published) {
             self.publish(now);
         }
     }
 
-    fn weigh(&mut self, now: Stamp) {
-        if now.since(self.weighed) < Duration::from_secs(1) {
+    fn update_capacity(&mut self, now: Stamp) {
+        if now.since(self.load_updated) < Duration::from_secs(1) {
             return;
         }
-        self.weighed = now;
+        self.load_updated = now;
         let deployment = &self.cx.in_force().deployment;
         let engines = deployment.services.values().map(|service| service.backends.len());
         let per_engine = self.cx.settings.limits.answers_per_engine;
@@ -116,7 +123,7 @@
         self.machine.set_value(own);
     }
 
-    // Replies come back to the mailbox, so the actor never waits for another node.
+    // Replies arrive through the mailbox, so the actor never waits for another node.
     fn send(&self, send: Outgoing<Member>, address: &WeakAddress<MembershipActor>) {
         let Some(record) = self.machine.record(send.to) else { return };
         self.deliver(record.value.peers, Some(send.to), send.gossip, address);
@@ -125,36 +132,38 @@
     fn deliver(
         &self,
         to: SocketAddr,
-        life: Option<Incarnation>,
+        to_incarnation: Option<Incarnation>,
         gossip: Gossip<Member>,
         address: &WeakAddress<MembershipActor>,
     ) {
         let (cx, address) = (Arc::clone(&self.cx), address.clone());
         tokio::spawn(async move {
-            let spread = GossipMessage { gossip };
-            let Ok((from, replies)) = cx.peers.ask(&cx, to, life, spread).await else { return };
+            let message = GossipMessage { gossip };
+            let Ok((from, replies)) = cx.peers.ask(&cx, to, to_incarnation, message).await else {
+                return;
+            };
             for gossip in replies {
-                let _ = address.send(Heard { from: from.incarnation, gossip }).await;
+                let _ = address.send(Received { from: from.incarnation, gossip }).await;
             }
         });
     }
 
-    // Addresses from the settings that are no member's: at the start, and again later, since a
-    // node that was cut off for long may have been forgotten by everyone.
-    fn greet(&mut self, now: Stamp, address: &WeakAddress<MembershipActor>) {
+    // Sends join messages to seed addresses that are not members: at the start, and again later, since
+    // the other nodes may have removed a node that was partitioned for long.
+    fn send_joins(&mut self, now: Stamp, address: &WeakAddress<MembershipActor>) {
         let members = self.machine.members();
         let known: BTreeSet<SocketAddr> = members.map(|view| view.record.value.peers).collect();
         let mut due = Vec::new();
-        for (seed, greeting) in &mut self.greetings {
+        for (seed, attempt) in &mut self.join_attempts {
             if known.contains(seed) {
-                greeting.pause = GREET_PAUSE;
+                attempt.pause = JOIN_PAUSE;
                 continue;
             }
-            if now < greeting.due {
+            if now < attempt.due {
                 continue;
             }
-            greeting.due = now + greeting.pause;
-            greeting.pause = (greeting.pause * 2).min(GREET_PAUSE_MAX);
+            attempt.due = now + attempt.pause;
+            attempt.pause = (attempt.pause * 2).min(JOIN_PAUSE_MAX);
             due.push(*seed);
         }
         for seed in due {
@@ -169,8 +178,8 @@
         for view in self.machine.members() {
             let record = view.record;
             let mut member = record.value.clone();
-            let told = record.condition != Condition::Alive;
-            member.leaving = told || leaving_vms.contains(&member.vm);
+            let left = record.condition != Condition::Alive;
+            member.leaving = left || leaving_vms.contains(&member.vm);
             member.suspected = view.suspected;
             members.push(member);
         }
@@ -178,22 +187,22 @@
     }
 }
 
-/// Registers what is done with messages about members.
+/// Registers the handler of gossip messages.
 pub fn register(port: &mut PeerPort, address: Address<MembershipActor>) {
-    port.register(move |_cx, from, spread: GossipMessage| {
+    port.register(move |_cx, from, message: GossipMessage| {
         let address = address.clone();
         async move {
-            let heard = Heard { from: from.incarnation, gossip: spread.gossip };
-            address.send(heard).await.unwrap_or_default()
+            let received = Received { from: from.incarnation, gossip: message.gossip };
+            address.send(received).await.unwrap_or_default()
         }
     });
 }
 
-/// Lets time pass for the actor.
-pub async fn pass(address: Address<MembershipActor>) {
+/// Sends the actor its ticks.
+pub async fn run_timer(address: Address<MembershipActor>) {
     loop {
-        tokio::time::sleep(TICK).await;
-        if address.send(Pass).await.is_err() {
+        tokio::time::sleep(TICK_PAUSE).await;
+        if address.send(Tick).await.is_err() {
             return;
         }
     }
@@ -209,25 +218,25 @@
     async fn stopped(self) -> Self::Stop {}
 }
 
-impl Handler<Pass> for MembershipActor {
+impl Handler<Tick> for MembershipActor {
     type Return = ();
 
-    async fn handle(&mut self, _pass: Pass, cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, _tick: Tick, cx: &mut xtra::Context<Self>) {
         let address = cx.mailbox().address();
-        self.pass(&address);
+        self.tick(&address);
     }
 }
 
-impl Handler<Heard> for MembershipActor {
+impl Handler<Received> for MembershipActor {
     type Return = Vec<Gossip<Member>>;
 
-    async fn handle(&mut self, heard: Heard, cx: &mut xtra::Context<Self>) -> Self::Return {
+    async fn handle(&mut self, received: Received, cx: &mut xtra::Context<Self>) -> Self::Return {
         let now = self.cx.clock.now();
         let address = cx.mailbox().address();
-        let sends = self.machine.receive(now, heard.from, heard.gossip, &mut self.random);
+        let sends = self.machine.receive(now, received.from, received.gossip, &mut self.random);
         let mut replies = Vec::new();
         for send in sends {
-            if send.to == heard.from {
+            if send.to == received.from {
                 replies.push(send.gossip);
                 continue;
             }
--- a/crates/daemon/src/meters/catalogue.rs
+++ b/crates/daemon/src/meters/catalogue.rs
@@ -1,23 +1,23 @@
-//! The catalogue of metrics.
+//! The catalogue of a node's metrics.
 
-/// A `Kind` tells how a metric's value moves.
+/// A `Kind` is the type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It only rises, until the process ends.
+    /// A value that only increases while the process runs.
     Counter,
-    /// It rises and falls.
+    /// A value that increases and decreases.
     Gauge,
-    /// It counts values in buckets.
+    /// Counts of values by bucket.
     Histogram,
 }
 
-/// A `Metric` is one thing that a node counts or measures; its name never changes its meaning.
+/// A `Metric` is one metric of a node; the meaning of its exported name never changes.
 ///
-/// Labels take their values out of the configuration or of a fixed set, so that callers cannot
-/// make the number of series grow.
+/// Label values come from the configuration or from a fixed set, so that callers can't increase the
+/// number of time series.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Metric {
-    /// Callers' requests by how they ended.
+    /// Callers' requests by outcome.
     Requests,
     /// The time from a caller's request to the end of its answer.
     RequestSeconds,
@@ -31,11 +31,11 @@
     QueueWaiting,
     /// Model requests that run on an engine.
     QueueRunning,
-    /// Attempts at an engine that failed, after which the request went on elsewhere.
+    /// Failed attempts at an engine after which the request continued on another one.
     FailedAttempts,
-    /// Accepted requests that no other node has a copy of.
+    /// Accepted requests of which no other node has a copy.
     Uncopied,
-    /// Tokens that were computed again.
+    /// Recomputed tokens.
     RecomputedTokens,
     /// Calls to the key-value service.
     KeyValueCalls,
@@ -43,13 +43,13 @@
     KeyValueSeconds,
     /// The configuration revision in force.
     Revision,
-    /// How many revisions the node is behind the highest that it was told of.
+    /// The number of revisions that the node is behind the highest reported one.
     RevisionLag,
     /// The other nodes that are believed to be alive.
     Members,
     /// The known backend servers.
     Backends,
-    /// Whether the node takes no new work any more.
+    /// Whether the node refuses new work.
     Leaving,
 }
 
@@ -75,7 +75,7 @@
         Metric::Leaving,
     ];
 
-    /// Returns the name under which monitoring finds it.
+    /// Returns its exported name.
     pub fn name(self) -> &'static str {
         match self {
             Metric::Requests => "bulrush_requests_total",
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns how its value moves.
+    /// Returns its type.
     pub fn kind(self) -> Kind {
         match self {
             Metric::Requests
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Returns the labels that it has beside `node`.
+    /// Returns its labels other than `node`.
     pub fn labels(self) -> &'static [&'static str] {
         match self {
             Metric::Requests => &["team", "class", "outcome"],
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns its place in [`Metric::ALL`].
+    /// Returns its index in [`Metric::ALL`].
     pub(crate) fn index(self) -> usize {
         self as usize
     }
--- a/crates/daemon/src/meters/mod.rs
+++ b/crates/daemon/src/meters/mod.rs
@@ -1,4 +1,4 @@
-//! What a node counts and measures, in one recorder for each node.
+//! The metrics of a node, in one recorder per node.
 
 mod catalogue;
 mod recorder;
--- a/crates/daemon/src/meters/recorder.rs
+++ b/crates/daemon/src/meters/recorder.rs
@@ -1,4 +1,4 @@
-//! The recorder of one node.
+//! The metrics recorder of one node.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -15,15 +15,16 @@
     meters::{Kind, Metric},
 };
 
-/// The upper bounds of the buckets of times, in seconds.
-const SECONDS: [f64; 14] =
+/// The upper bounds of histogram buckets, in seconds.
+const BUCKETS: [f64; 14] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.9, 3.0, 5.0, 10.0, 30.0, 60.0];
-/// What all metrics are recorded under.
+/// The metadata of all metrics.
 const METADATA: Metadata<'static> = Metadata::new("bulrushhall", Level::INFO, None);
 
-/// `Meters` are what one node counts and measures.
+/// `Meters` are the metrics of one node.
 ///
-/// Each node has a recorder of its own and not the process, since tests run several nodes in one.
+/// Each node has its own recorder instead of the process-wide one, since tests run several nodes in one
+/// process.
 pub struct Meters {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
@@ -31,11 +32,11 @@
 }
 
 impl Meters {
-    /// Returns meters that have counted nothing.
+    /// Returns meters without any values.
     pub fn new(node: &NodeName) -> Meters {
         let builder = PrometheusBuilder::new().add_global_label("node", node.as_str());
         // Only an empty list of buckets is refused.
-        let builder = builder.set_buckets(&SECONDS).unwrap_or_else(|_| PrometheusBuilder::new());
+        let builder = builder.set_buckets(&BUCKETS).unwrap_or_else(|_| PrometheusBuilder::new());
         let recorder = builder.build_recorder();
         let handle = recorder.handle();
         let meters = Meters { recorder, handle, totals: Default::default() };
@@ -51,7 +52,7 @@
         self.recorder.register_counter(&key(metric, labels), &METADATA).increment(amount);
     }
 
-    /// Adds a time to a histogram.
+    /// Records a duration in a histogram.
     pub fn time(&self, metric: Metric, labels: &[(&'static str, &str)], time: Duration) {
         let histogram = self.recorder.register_histogram(&key(metric, labels), &METADATA);
         histogram.record(time.as_secs_f64());
@@ -67,12 +68,12 @@
         self.recorder.register_gauge(&key(metric, &[]), &METADATA).increment(by);
     }
 
-    /// Returns the total of a counter over all labels.
+    /// Returns the sum of a counter over all labels.
     pub fn total(&self, metric: Metric) -> u64 {
         self.totals[metric.index()].load(Ordering::Relaxed)
     }
 
-    /// Sets the gauges that tell how the node is now.
+    /// Updates the gauges from the node's present state.
     pub async fn sample(&self, cx: &Context) {
         let in_force = cx.in_force();
         let highest = (*cx.highest_revision.borrow()).max(in_force.revision);
@@ -93,26 +94,26 @@
         }
     }
 
-    /// Returns everything in the text form of Prometheus.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         self.handle.render()
     }
 
-    /// Sorts recorded times into their buckets.
+    /// Aggregates recorded durations into their buckets.
     ///
-    /// Times are kept one by one until this is done or the metrics are read: a node that no
-    /// monitoring reads would use more memory with every request.
-    pub fn tidy(&self) {
+    /// Until this runs or the metrics are read, each duration is stored individually: without it, the
+    /// memory of a node whose metrics nobody reads would grow with every request.
+    pub fn run_upkeep(&self) {
         self.handle.run_upkeep();
     }
 
     fn describe(&self, metric: Metric) {
         let name = metric.name().into();
-        let meaning = "see docs/METRICS.md".into();
+        let description = "see docs/METRICS.md".into();
         match metric.kind() {
-            Kind::Counter => self.recorder.describe_counter(name, None, meaning),
-            Kind::Gauge => self.recorder.describe_gauge(name, None, meaning),
-            Kind::Histogram => self.recorder.describe_histogram(name, None, meaning),
+            Kind::Counter => self.recorder.describe_counter(name, None, description),
+            Kind::Gauge => self.recorder.describe_gauge(name, None, description),
+            Kind::Histogram => self.recorder.describe_histogram(name, None, description),
         }
     }
 }
@@ -123,7 +124,7 @@
     Key::from_parts(metric.name(), labels.collect::<Vec<Label>>())
 }
 
-// Counts stay far below the size from which a float can't hold them.
+// Counts stay far below 2^53, up to which a float represents integers exactly.
 fn as_value(count: u64) -> f64 {
     count as f64
 }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: its ports, its actors and its life from start to stop.
+//! A node: its ports, its actors, its start and its shutdown.
 
 use std::{
     net::SocketAddr,
@@ -54,9 +54,9 @@
 
 /// The pause between two ticks of the dispatcher.
 const TICK_PAUSE: Duration = Duration::from_millis(50);
-/// The pause between two times that recorded times are sorted into their buckets.
-const TIDY_PAUSE: Duration = Duration::from_secs(5);
-/// The pause between two looks at unfinished answers while the node leaves.
+/// The pause between two upkeep runs of the metrics recorder.
+const METRICS_UPKEEP_PAUSE: Duration = Duration::from_secs(5);
+/// The poll interval for unfinished answers while the node shuts down.
 const DRAIN_PAUSE: Duration = Duration::from_millis(20);
 
 /// A `Node` is one running node.
@@ -83,7 +83,7 @@
         let key_value = settings.platform.key_value.map(key_value_client);
         let (keeper, mailbox) = Mailbox::unbounded();
         let (claimer, claimer_mailbox) = Mailbox::unbounded();
-        let (leaving_news, news) = mpsc::unbounded_channel();
+        let (leaving_updates, updates) = mpsc::unbounded_channel();
         let cx = Arc::new(Context {
             settings,
             incarnation,
@@ -104,12 +104,12 @@
             highest_revision: watch::Sender::new(Revision(0)),
             leaving_vms: ArcSwap::default(),
             notices: Mutex::default(),
-            leaving_news,
+            leaving_updates,
             budget: Arc::new(Mutex::new(CallBudget::new(clock.now()))),
-            workers_gate: tokio::sync::Mutex::default(),
+            workers_lock: tokio::sync::Mutex::default(),
             document: ArcSwap::default(),
-            config_gate: tokio::sync::Mutex::default(),
-            revision_teller: AtomicU64::new(0),
+            config_lock: tokio::sync::Mutex::default(),
+            revision_source: AtomicU64::new(0),
             last_contact: AtomicU64::new(0),
             has_peers: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
@@ -154,12 +154,12 @@
             tokio::spawn(handoff::follow_notices(Arc::clone(&cx))),
             tokio::spawn(config_watch::watch_service(Arc::clone(&cx))),
             tokio::spawn(config_watch::catch_up(Arc::clone(&cx))),
-            tokio::spawn(membership_actor::pass(membership)),
+            tokio::spawn(membership_actor::run_timer(membership)),
             tokio::spawn(notices::poll(Arc::clone(&cx))),
-            tokio::spawn(notices::spread(Arc::clone(&cx), news)),
-            tokio::spawn(notices::compare(Arc::clone(&cx))),
+            tokio::spawn(notices::spread(Arc::clone(&cx), updates)),
+            tokio::spawn(notices::run_anti_entropy(Arc::clone(&cx))),
             tokio::spawn(tick(Arc::clone(&cx))),
-            tokio::spawn(tidy_meters(Arc::clone(&cx))),
+            tokio::spawn(run_metrics_upkeep(Arc::clone(&cx))),
             tokio::spawn(certificates::follow(tls)),
             tokio::spawn(loads::follow(Arc::clone(&cx))),
             tokio::spawn(fleet::follow(Arc::clone(&cx))),
@@ -171,7 +171,7 @@
         Ok(Node { cx, stop, ports, duties })
     }
 
-    /// Returns what the parts of the node share.
+    /// Returns the state that the parts of the node share.
     pub fn context(&self) -> &Arc<Context> {
         &self.cx
     }
@@ -186,17 +186,17 @@
         self.cx.settings.node.operators
     }
 
-    /// Takes no new work, lets open answers end and stops.
+    /// Refuses new work, waits for open answers up to the drain limit, and stops.
     pub async fn stop(mut self) {
         self.cx.leave();
         tracing::info!(event = Event::NodeLeaving.number());
         let drain: Duration = self.cx.settings.limits.drain.into();
-        let emptied = async {
+        let drained = async {
             while 0 < self.cx.answers.unfinished() {
                 tokio::time::sleep(DRAIN_PAUSE).await;
             }
         };
-        let _ = tokio::time::timeout(drain, emptied).await;
+        let _ = tokio::time::timeout(drain, drained).await;
         handoff::empty(&self.cx);
         self.stop.send_replace(true);
         while self.ports.join_next().await.is_some() {}
@@ -204,7 +204,7 @@
         tracing::info!(event = Event::NodeStopped.number());
     }
 
-    /// Ends everything at once, as the death of the process would.
+    /// Aborts everything at once, as a crash of the process would.
     pub fn kill(mut self) {
         self.ports.abort_all();
         self.end_duties();
@@ -223,8 +223,8 @@
     Ok(listener)
 }
 
-// Lives of one node are told apart by the time of their start. The random low bits keep two
-// nodes that start in the same microsecond apart.
+// Incarnations of one node differ by their start time. The random low bits distinguish two nodes that
+// start in the same microsecond.
 fn new_incarnation() -> Incarnation {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let micros = u64::try_from(now.as_micros()).unwrap_or(u64::MAX >> 12);
@@ -235,10 +235,10 @@
     Arc::new(HttpKeyValue::new(Endpoint::new(address, EndpointOptions::default())))
 }
 
-async fn tidy_meters(cx: Arc<Context>) {
+async fn run_metrics_upkeep(cx: Arc<Context>) {
     loop {
-        tokio::time::sleep(TIDY_PAUSE).await;
-        cx.meters.tidy();
+        tokio::time::sleep(METRICS_UPKEEP_PAUSE).await;
+        cx.meters.run_upkeep();
     }
 }
 
@@ -249,7 +249,7 @@
     }
 }
 
-/// Makes a checked revision the one that this node acts on.
+/// Puts a validated configuration revision in force at this node.
 pub(crate) async fn put_in_force(cx: &Context, revision: Revision, text: &[u8]) {
     let text = String::from_utf8_lossy(text);
     let deployment = match parse_deployment(HEAD_KEY, &text) {
@@ -259,22 +259,22 @@
             return;
         }
     };
-    let _gate = cx.workers_gate.lock().await;
-    put_workers(cx, &deployment).await;
+    let _guard = cx.workers_lock.lock().await;
+    update_workers(cx, &deployment).await;
     let deployment = Arc::new(deployment);
     cx.config.store(Arc::new(InForce { revision, deployment }));
 }
 
-/// Makes the backend servers known that the list of VMs shows besides those of the configuration.
+/// Updates the backend servers after a change of the VM list.
 pub(crate) async fn refresh_workers(cx: &Context) {
-    let _gate = cx.workers_gate.lock().await;
-    put_workers(cx, &cx.in_force().deployment).await;
+    let _guard = cx.workers_lock.lock().await;
+    update_workers(cx, &cx.in_force().deployment).await;
 }
 
-// Called with the gate held: a new configuration and a new list of VMs may come at the same time,
-// and the workers of the older configuration must not be put back by the slower of the two.
-async fn put_workers(cx: &Context, deployment: &Deployment) {
-    cx.backends.follow(deployment, &cx.settings.limits);
+// Called with the lock held: a new configuration and a new VM list may arrive at the same time, and
+// the slower of the two must not restore the workers of the older configuration.
+async fn update_workers(cx: &Context, deployment: &Deployment) {
+    cx.backends.update(deployment, &cx.settings.limits);
     for (service, cfg) in &deployment.services {
         if cfg.service_type != ServiceType::Model {
             continue;
--- a/crates/daemon/src/notices.rs
+++ b/crates/daemon/src/notices.rs
@@ -1,4 +1,4 @@
-//! Following which VMs leave: two nodes a zone ask the platform, the others hear of it from peers.
+//! Notices of leaving VMs: two nodes per zone poll the platform, the others receive them from peers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,23 +23,23 @@
     peers::{PeerMessage, PeerPort},
 };
 
-/// The pause between two looks at the notices.
+/// The poll interval of reclaim notices.
 const NOTICE_PAUSE: Duration = Duration::from_millis(500);
-/// The pause between two looks at the list of VMs, which lags anyway.
+/// The poll interval of the VM list; a short one gains nothing, since the list lags.
 const LIST_PAUSE: Duration = Duration::from_secs(3);
-/// The pause between two comparisons with another node.
-const COMPARE_PAUSE: Duration = Duration::from_secs(2);
-/// The share of comparisons that are made with a node of any zone.
-const FAR_SHARE: f64 = 0.25;
-/// The nodes elsewhere that are told at once.
-const FAR_TOLD: usize = 2;
+/// The pause between two anti-entropy exchanges with another node.
+const EXCHANGE_PAUSE: Duration = Duration::from_secs(2);
+/// The fraction of exchanges with a node of any zone instead of the own one.
+const OTHER_ZONE_SHARE: f64 = 0.25;
+/// The number of nodes in other zones to which new notices are sent at once.
+const OTHER_ZONE_RECIPIENTS: usize = 2;
 
-/// A `LeavingVms` tells which VMs leave and asks for those that the sender does not know.
+/// A `LeavingVms` is a message with leaving VMs; the reply contains those that the sender doesn't know.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeavingVms {
-    /// The VMs that the sender tells of.
+    /// The leaving VMs that the sender reports.
     pub vms: Vec<VmName>,
-    /// A hash of all that the sender knows to leave.
+    /// A hash of all VMs that the sender knows to be leaving.
     pub hash: u64,
 }
 
@@ -48,39 +48,39 @@
     type Reply = Vec<VmName>;
 }
 
-/// Registers what is done when another node tells of leaving VMs.
+/// Registers the handler of other nodes' reports of leaving VMs.
 pub fn register(port: &mut PeerPort) {
-    port.register(|cx: Arc<Context>, _from, told: LeavingVms| async move {
-        let differs = told.hash != cx.leaving_hash();
-        take(&cx, Source::Peer, told.vms.clone());
-        if differs { cx.known_leaving(&told.vms) } else { Vec::new() }
+    port.register(|cx: Arc<Context>, _from, msg: LeavingVms| async move {
+        let differs = msg.hash != cx.leaving_hash();
+        record_leaving(&cx, Source::Peer, msg.vms.clone());
+        if differs { cx.known_leaving(&msg.vms) } else { Vec::new() }
     });
 }
 
-/// Notes VMs that are leaving and passes on those that were not known to.
-pub fn take(cx: &Context, source: Source, vms: Vec<VmName>) {
+/// Records leaving VMs and forwards those that were not known to be leaving.
+pub fn record_leaving(cx: &Context, source: Source, vms: Vec<VmName>) {
     let new = cx.note_leaving(source, vms);
     if !new.is_empty() {
-        let _ = cx.leaving_news.send(new);
+        let _ = cx.leaving_updates.send(new);
     }
 }
 
-/// Asks the platform while this node is one of its zone's watchers.
+/// Polls the platform while this node is one of its zone's watchers.
 pub async fn poll(cx: Arc<Context>) {
     let platform = &cx.settings.platform;
     let endpoint = |address| Endpoint::new(address, EndpointOptions::default());
     let cloud = platform.cloud.map(|address| HttpCloud::new(endpoint(address)));
     let list = platform.vm_list.map(|address| HttpVmList::new(endpoint(address)));
-    let mut listed = Instant::now();
+    let mut last_list = Instant::now();
     loop {
         if is_watcher(&cx) {
             if let Some(cloud) = &cloud {
-                ask_cloud(&cx, cloud).await;
+                poll_cloud(&cx, cloud).await;
             }
-            if LIST_PAUSE <= listed.elapsed() {
-                listed = Instant::now();
+            if LIST_PAUSE <= last_list.elapsed() {
+                last_list = Instant::now();
                 if let Some(list) = &list {
-                    ask_list(&cx, list).await;
+                    poll_list(&cx, list).await;
                 }
             }
         }
@@ -88,63 +88,67 @@
     }
 }
 
-/// Tells others at once of each VM that was not known to leave.
-pub async fn spread(cx: Arc<Context>, mut news: mpsc::UnboundedReceiver<Vec<VmName>>) {
-    while let Some(mut vms) = news.recv().await {
-        while let Ok(more) = news.try_recv() {
+/// Sends each newly known leaving VM to other nodes at once.
+pub async fn spread(cx: Arc<Context>, mut updates: mpsc::UnboundedReceiver<Vec<VmName>>) {
+    while let Some(mut vms) = updates.recv().await {
+        while let Ok(more) = updates.try_recv() {
             vms.extend(more);
         }
-        for member in told_at_once(&cx) {
+        for member in immediate_recipients(&cx) {
             let (cx, vms) = (Arc::clone(&cx), vms.clone());
-            tokio::spawn(async move { tell(&cx, &member, vms).await });
+            tokio::spawn(async move { send_leaving(&cx, &member, vms).await });
         }
     }
 }
 
-/// Compares with another node again and again, which makes up for messages that were lost.
-pub async fn compare(cx: Arc<Context>) {
+/// Regularly asks a random node for leaving VMs that are unknown here, which makes up for lost messages.
+pub async fn run_anti_entropy(cx: Arc<Context>) {
     loop {
-        sleep(COMPARE_PAUSE.mul_f64(0.8 + 0.4 * rand::random::<f64>())).await;
+        sleep(EXCHANGE_PAUSE.mul_f64(0.8 + 0.4 * rand::random::<f64>())).await;
         let members = cx.members.current();
         let zone = &cx.settings.node.zone;
-        let far = rand::random::<f64>() < FAR_SHARE;
-        let near: Vec<&Member> =
-            members.iter().filter(|member| far || member.zone == *zone).collect();
-        let some = near.choose(&mut rand::rng()).copied();
+        let other_zones = rand::random::<f64>() < OTHER_ZONE_SHARE;
+        let candidates: Vec<&Member> =
+            members.iter().filter(|member| other_zones || member.zone == *zone).collect();
+        let some = candidates.choose(&mut rand::rng()).copied();
         let Some(member) = some.or_else(|| members.choose(&mut rand::rng())) else { continue };
-        tell(&cx, member, Vec::new()).await;
+        send_leaving(&cx, member, Vec::new()).await;
     }
 }
 
-async fn ask_cloud(cx: &Context, cloud: &dyn Cloud) {
+async fn poll_cloud(cx: &Context, cloud: &dyn Cloud) {
     let Ok(notices) = cloud.notices().await else { return };
-    take(cx, Source::Notice, notices.into_iter().map(|notice| notice.vm).collect());
+    record_leaving(cx, Source::Notice, notices.into_iter().map(|notice| notice.vm).collect());
 }
 
-async fn ask_list(cx: &Context, list: &dyn VmList) {
+async fn poll_list(cx: &Context, list: &dyn VmList) {
     let Ok(vms) = list.list().await else { return };
     let leaving = vms.into_iter().filter(|vm| vm.leaving);
-    take(cx, Source::List, leaving.map(|vm| vm.vm).collect());
+    record_leaving(cx, Source::List, leaving.map(|vm| vm.vm).collect());
 }
 
-// A node that heard it from the platform tells its whole zone. The others pass it on to a few, so
-// that a zone whose own watchers can't reach the platform hears of it too.
-fn told_at_once(cx: &Context) -> Vec<Member> {
+// A watcher sends to all nodes of its zone. Every node also forwards to a few nodes in other zones, so
+// that a zone whose own watchers can't reach the platform receives the notice too.
+fn immediate_recipients(cx: &Context) -> Vec<Member> {
     let members = cx.members.current();
     let zone = &cx.settings.node.zone;
-    let (near, far): (Vec<&Member>, Vec<&Member>) =
+    let (same_zone, other_zones): (Vec<&Member>, Vec<&Member>) =
         members.iter().partition(|member| member.zone == *zone);
-    let mut told: Vec<Member> = Vec::new();
+    let mut recipients: Vec<Member> = Vec::new();
     if is_watcher(cx) {
-        told.extend(near.into_iter().cloned());
+        recipients.extend(same_zone.into_iter().cloned());
     }
-    told.extend(far.sample(&mut rand::rng(), FAR_TOLD).map(|member| Member::clone(member)));
-    told
+    recipients.extend(
+        other_zones
+            .sample(&mut rand::rng(), OTHER_ZONE_RECIPIENTS)
+            .map(|member| Member::clone(member)),
+    );
+    recipients
 }
 
-async fn tell(cx: &Context, member: &Member, vms: Vec<VmName>) {
-    let told = LeavingVms { vms, hash: cx.leaving_hash() };
-    let reply = cx.peers.send(cx, member.peers, Some(member.incarnation), told).await;
+async fn send_leaving(cx: &Context, member: &Member, vms: Vec<VmName>) {
+    let msg = LeavingVms { vms, hash: cx.leaving_hash() };
+    let reply = cx.peers.send(cx, member.peers, Some(member.incarnation), msg).await;
     let Ok(vms) = reply else { return };
-    take(cx, Source::Peer, vms);
+    record_leaving(cx, Source::Peer, vms);
 }
--- a/crates/daemon/src/route_metrics.rs
+++ b/crates/daemon/src/route_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a node that serves routes, on a port of their own.
+//! The metrics of a node that serves routes, on a separate port.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,11 +13,11 @@
 
 use crate::errors::NodeError;
 
-/// The upper bounds of the buckets of times, in seconds: around the latency targets of the early users,
-/// 0.1 to 1 s.
-const SECONDS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 2.0, 5.0, 10.0];
-/// The time between two sortings of recorded times into their buckets.
-const TIDY_EACH: Duration = Duration::from_secs(10);
+/// The upper bounds of histogram buckets, in seconds; they are densest around the latency targets of
+/// users, 0.1 to 1 s.
+const BUCKETS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 2.0, 5.0, 10.0];
+/// The pause between two upkeep runs of the metrics recorder.
+const UPKEEP_PAUSE: Duration = Duration::from_secs(10);
 /// The path of the metrics.
 const PATH: &str = "/metrics";
 
@@ -25,9 +25,9 @@
     handle: PrometheusHandle,
 }
 
-/// Records metrics from now on, and serves them at `address` until the process ends.
+/// Installs the metrics recorder and serves the metrics at `address` until the process ends.
 pub fn start(address: SocketAddr) -> Result<(), Report<NodeError>> {
-    let builder = PrometheusBuilder::new().set_buckets(&SECONDS);
+    let builder = PrometheusBuilder::new().set_buckets(&BUCKETS);
     let recorder = builder.change_context(NodeError::Start)?.build_recorder();
     let handle = recorder.handle();
     metrics::set_global_recorder(recorder).change_context(NodeError::Start)?;
@@ -36,9 +36,10 @@
     let (running, stop) = watch::channel(false);
     tokio::spawn(serve(listener, port, ServerOptions::default(), stop));
     tokio::spawn(async move {
-        // Times are kept one by one until they are sorted, also where nobody reads them.
+        // Without upkeep, each duration is stored individually until the metrics are read, and memory
+        // would grow if nobody reads them.
         while !running.is_closed() {
-            sleep(TIDY_EACH).await;
+            sleep(UPKEEP_PAUSE).await;
             handle.run_upkeep();
         }
     });
--- a/crates/daemon/src/routes.rs
+++ b/crates/daemon/src/routes.rs
@@ -1,4 +1,4 @@
-//! A process that serves the routes of a platform with a dialect of its own.
+//! The process that serves routes on a platform whose APIs need an adapter.
 
 use std::{
     io,
@@ -18,10 +18,10 @@
 
 use crate::{errors::NodeError, route_metrics, settings::LogSettings, telemetry::Lines};
 
-/// The time between two looks at whether the settings file has changed without a signal.
-const LOOK_EACH: Duration = Duration::from_secs(5);
+/// The poll interval for changes of the settings file that came without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// An `Adapter` is what connects a node to one kind of platform.
+/// An `Adapter` is the connection of a node to one kind of platform.
 #[derive(Clone, Copy)]
 pub struct Adapter {
     /// Its name in settings.
@@ -34,7 +34,7 @@
 pub const ADAPTERS: [Adapter; 1] =
     [Adapter { name: bulrushhall_adapter::NAME, connect: bulrushhall_adapter::connect }];
 
-/// Serves until the process is told to stop.
+/// Serves until the process receives SIGTERM or SIGINT.
 pub async fn run(path: &Path, text: &str) -> Result<(), Report<NodeError>> {
     let settings = Settings::parse(&path.display().to_string(), text);
     let settings = settings.change_context(NodeError::Settings)?;
@@ -67,21 +67,21 @@
     registry.try_init().change_context(NodeError::Start)
 }
 
-// The addresses and bounds of a running node do not change. What a changed file says is checked and
-// told, so that an operator learns at once whether the next start will take it.
+// A running node doesn't change its addresses and limits. A changed file is only validated and the result
+// logged, so that an operator sees at once whether the next start will accept it.
 async fn follow_settings(path: PathBuf, mut text: Arc<str>) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
-    let mut ticks = interval(LOOK_EACH);
+    let mut ticks = interval(SETTINGS_POLL_INTERVAL);
     loop {
         tokio::select! {
             _ = hangup.recv() => {}
             _ = ticks.tick() => {}
         }
-        let Ok(now) = std::fs::read_to_string(&path) else { continue };
-        if *text == *now {
+        let Ok(current) = std::fs::read_to_string(&path) else { continue };
+        if *text == *current {
             continue;
         }
-        text = now.into();
+        text = current.into();
         match Settings::parse(&path.display().to_string(), &text) {
             Ok(_) => {
                 tracing::info!(event = Event::SettingsChanged.number(), path = %path.display())
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one node, as its INI file gives them.
+//! The settings of one node, read from its INI file.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -10,24 +10,24 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
 
-/// The `Settings` of a node.
+/// `Settings` are the settings of a node.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Who the node is and where it listens.
+    /// The node's identity and addresses.
     pub node: NodeSettings,
-    /// Where the platform's services are.
+    /// The addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// What a request may cost.
+    /// The limits of a request.
     pub limits: LimitSettings,
-    /// What is logged and in what form.
+    /// The log filter and format.
     pub log: LogSettings,
-    /// Where spans are sent.
+    /// The export of trace spans.
     pub trace: TraceSettings,
-    /// How the ports are protected.
+    /// TLS of the ports.
     pub tls: TlsSettings,
 }
 
-/// `NodeSettings` tell who the node is and where it listens.
+/// `NodeSettings` are the node's identity and addresses.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -38,18 +38,18 @@
     pub vm: VmName,
     /// The availability zone of the VM.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// The listen address for callers.
     pub callers: SocketAddr,
-    /// Where other nodes connect.
+    /// The listen address for other nodes.
     pub peers: SocketAddr,
-    /// Where operators and monitoring connect.
+    /// The listen address for operators and monitoring.
     pub operators: SocketAddr,
-    /// Addresses of other nodes to start from.
+    /// The peer addresses through which the node joins the others.
     #[serde_as(as = "CommaList")]
     pub seeds: Vec<SocketAddr>,
 }
 
-/// `PlatformSettings` tell where the platform's services are.
+/// `PlatformSettings` are the addresses of the platform's services.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformSettings {
@@ -63,65 +63,65 @@
     pub weights: Option<SocketAddr>,
 }
 
-/// `LimitSettings` bound what a request may cost.
+/// `LimitSettings` are the limits of a request.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
-    /// The largest body.
+    /// The maximum size of a body.
     #[serde_as(as = "ExactSize")]
     pub body: ByteSize,
-    /// The longest time that a body may take to arrive.
+    /// The maximum time in which a body must arrive.
     #[serde_as(as = "DisplayFromStr")]
     pub body_timeout: humantime::Duration,
-    /// The longest time that headers may take to arrive.
+    /// The maximum time in which headers must arrive.
     #[serde_as(as = "DisplayFromStr")]
     pub header_timeout: humantime::Duration,
-    /// The longest time without a frame from an engine.
+    /// The maximum time between two frames from an engine.
     #[serde_as(as = "DisplayFromStr")]
     pub engine_progress: humantime::Duration,
-    /// How long open answers may go on after the stop.
+    /// The maximum time for open answers to finish after the node is told to stop.
     #[serde_as(as = "DisplayFromStr")]
     pub drain: humantime::Duration,
-    /// The answers that run at once on one engine.
+    /// The maximum number of concurrent answers on one engine.
     #[serde_as(as = "DisplayFromStr")]
     pub answers_per_engine: usize,
 }
 
-/// A `LogFormat` tells for whom log lines are written.
+/// A `LogFormat` is the form of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people.
     #[default]
     Human,
-    /// For programs, one JSON object a line.
+    /// One JSON object per line, for programs.
     Json,
 }
 
-/// `LogSettings` tell what is logged and in what form.
+/// `LogSettings` are the log filter and format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// For whom log lines are written.
+    /// The form of log lines.
     pub format: LogFormat,
-    /// Which events are logged, as `tracing` filters are written.
+    /// Which events are logged, in the filter syntax of `tracing`.
     pub filter: String,
 }
 
-/// `TraceSettings` tell where spans are sent.
+/// `TraceSettings` are the settings of trace export.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TraceSettings {
-    /// The collector, which takes OTLP over HTTP; none means that no spans are sent.
+    /// The collector, which accepts OTLP over HTTP; without one no spans are sent.
     pub collector: Option<SocketAddr>,
-    /// The share of requests that are traced where the caller does not decide it.
+    /// The fraction of requests that are sampled unless the caller's trace context decides it.
     #[serde_as(as = "DisplayFromStr")]
     pub share: f64,
 }
 
-/// `TlsSettings` tell how the ports are protected; without a certificate they are not.
+/// `TlsSettings` are the certificate files of the ports; without a certificate the ports use no TLS.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TlsSettings {
@@ -129,7 +129,7 @@
     pub certificate: Option<PathBuf>,
     /// The file with the private key, in PEM.
     pub key: Option<PathBuf>,
-    /// The file with the certificates of the authority that signs nodes and operators, in PEM.
+    /// The file with the CA certificates that sign nodes' and operators' certificates, in PEM.
     pub authority: Option<PathBuf>,
 }
 
@@ -137,7 +137,7 @@
 pub const SECTION_KINDS: [&str; 6] = ["node", "platform", "limits", "log", "trace", "tls"];
 
 impl Settings {
-    /// Returns the settings that an INI text gives; the error holds every problem in it.
+    /// Parses the settings from an INI text; the error contains every problem in it.
     pub fn parse(file: &str, text: &str) -> Result<Settings> {
         let (sections, mut problems) = read_sections(file, text);
         problems.extend(unknown_sections(file, &sections, &SECTION_KINDS));
@@ -166,7 +166,7 @@
 }
 
 impl LogSettings {
-    /// Returns what an INI text says about logs, whatever else is in it.
+    /// Parses the `[log]` section of an INI text and ignores all others.
     pub fn parse(file: &str, text: &str) -> Result<LogSettings> {
         let (sections, _) = read_sections(file, text);
         let mut problems = Vec::new();
