--- a/crates/daemon/src/bin/bulrushd.rs
+++ b/crates/daemon/src/bin/bulrushd.rs
@@ -32,7 +32,7 @@
             Arg::new("log-format")
                 .long("log-format")
                 .value_name("FORMAT")
-                .help("For whom log lines are written, instead of what the settings say")
+                .help("The form of log lines; overrides the settings")
                 .value_parser(["human", "json"]),
         )
         .arg(
@@ -40,14 +40,14 @@
                 .long("log-filter")
                 .value_name("FILTER")
                 .env("BULRUSHD_LOG")
-                .help("Which events are logged, instead of what the settings say"),
+                .help("Which events are logged; overrides the settings"),
         )
         .get_matches();
     let Some(path) = matches.get_one::<PathBuf>("settings") else { return ExitCode::from(2) };
     match start(path, &matches) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            // Logs may not be set up yet, so the failure goes where they would go.
+            // Logging may not be set up yet, so the error is written to standard error directly.
             let _ = writeln!(std::io::stderr(), "{report:?}");
             ExitCode::from(2)
         }
@@ -57,7 +57,7 @@
 fn start(path: &Path, matches: &ArgMatches) -> Result<(), Report<NodeError>> {
     let text = std::fs::read_to_string(path).change_context(NodeError::Settings)?;
     if bulrushhall_gateway::Settings::is_gateway_file(&text) {
-        // A node that serves routes has a part of a core; more threads would only take turns.
+        // A node that serves routes gets only a fraction of a core, so more threads gain nothing.
         let runtime = runtime::Builder::new_current_thread().enable_all().build();
         return runtime.change_context(NodeError::Start)?.block_on(routes::run(path, &text));
     }
@@ -80,7 +80,7 @@
     let mut term = signal(SignalKind::terminate()).change_context(NodeError::Start)?;
     let mut interrupt = signal(SignalKind::interrupt()).change_context(NodeError::Start)?;
     let node = Node::start(settings).await?;
-    announce(&node);
+    print_ready_line(&node);
     tokio::select! {
         _ = term.recv() => {}
         _ = interrupt.recv() => {}
@@ -90,8 +90,8 @@
     Ok(())
 }
 
-// Whoever started the process learns from this line which ports were opened.
-fn announce(node: &Node) {
+// The parent process reads the bound ports from this line.
+fn print_ready_line(node: &Node) {
     let ready = serde_json::json!({
         "callers": node.callers(),
         "operators": node.operators(),
--- a/crates/daemon/src/operators/port.rs
+++ b/crates/daemon/src/operators/port.rs
@@ -1,4 +1,4 @@
-//! The port itself: what is at which path.
+//! The HTTP handler of the operators' port.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 /// The content type of metrics.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
-/// An `OperatorPort` answers operators and monitoring.
+/// An `OperatorPort` is the HTTP handler for operators and monitoring.
 pub struct OperatorPort {
     cx: Arc<Context>,
 }
--- a/crates/daemon/src/operators/request_status.rs
+++ b/crates/daemon/src/operators/request_status.rs
@@ -1,4 +1,4 @@
-//! How far a request is at one node, as operators are told.
+//! The status of a request at one node, for operators.
 
 use bulrushhall_core::{ClassName, ModelName, NodeName, Ran, RequestId, TeamName};
 use serde::{Deserialize, Serialize};
@@ -9,15 +9,15 @@
     context::Context,
 };
 
-/// A `RequestState` tells how far a request is.
+/// A `RequestState` is the progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestState {
-    /// It waits for its first token.
+    /// No token has been generated yet.
     Waiting,
-    /// Tokens have come.
+    /// Some tokens have been generated.
     Running,
-    /// Its answer is whole.
+    /// Its answer is complete.
     Finished,
     /// It failed.
     Failed,
@@ -25,14 +25,14 @@
     Moved,
 }
 
-/// A `RequestStatus` tells how far a request is at one node; it holds no prompt and no answer.
+/// A `RequestStatus` is the status of a request at one node; it contains no prompt and no answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestStatus {
     /// The request.
     pub id: RequestId,
-    /// The node that tells this.
+    /// The node that reports the status.
     pub node: NodeName,
-    /// Whether this life of the node accepted the request, and not an earlier life or another node.
+    /// Whether this incarnation of the node accepted the request, not an earlier one or another node.
     pub accepted_here: bool,
     /// The team that it came from.
     pub team: TeamName,
@@ -40,9 +40,9 @@
     pub model: ModelName,
     /// The class.
     pub class: ClassName,
-    /// How far it is.
+    /// Its progress.
     pub state: RequestState,
-    /// The tokens so far.
+    /// The number of tokens so far.
     pub tokens: usize,
     /// Whether a backend server may have run it.
     pub ran: Ran,
@@ -51,7 +51,7 @@
 }
 
 impl RequestState {
-    /// Returns the word for people.
+    /// Returns the state as a word for people.
     pub fn word(self) -> &'static str {
         match self {
             RequestState::Waiting => "waiting",
@@ -64,7 +64,7 @@
 }
 
 impl RequestStatus {
-    /// Returns how far a request is whose answer the node holds.
+    /// Returns the status of a request whose answer the node holds.
     pub fn of(cx: &Context, answer: &Answer) -> RequestStatus {
         let tokens = answer.len();
         let (state, failure) = match answer.ended() {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns the word for what the node has to do with the request.
+    /// Returns the node's role for the request in words for people.
     pub fn role(&self) -> &'static str {
         if self.accepted_here { "accepted it" } else { "took it over" }
     }
--- a/crates/daemon/src/operators/status.rs
+++ b/crates/daemon/src/operators/status.rs
@@ -1,4 +1,4 @@
-//! How a node is, as operators are told.
+//! The status of a node, for operators.
 
 use bulrushhall_core::{ClassName, NodeName, Revision, ServiceName, VmName, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -9,28 +9,28 @@
     meters::Metric,
 };
 
-/// A `NodeStatus` tells how a node is.
+/// A `NodeStatus` is the status of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// The node.
     pub node: NodeName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// This life of it.
+    /// The incarnation of its process.
     pub incarnation: String,
-    /// The configuration revision that it has in force; 0 before it learnt any.
+    /// The configuration revision that it has in force; 0 before it knows any.
     pub revision: Revision,
-    /// The highest revision that any message told it of.
+    /// The highest revision that any message reported.
     pub highest_revision: Revision,
-    /// Whether it takes no new work any more.
+    /// Whether it refuses new work.
     pub leaving: bool,
-    /// Whether it reaches neither the key-value service nor another node.
+    /// Whether it has contact neither to the key-value service nor to another node.
     pub isolated: bool,
-    /// The model requests that it has accepted and not finished.
+    /// The number of model requests that it has accepted and not finished.
     pub unfinished: usize,
-    /// The tokens that were computed again because an engine or a request's place was lost.
+    /// The number of tokens that were recomputed because an engine or a request's placement was lost.
     pub recomputed_tokens: u64,
-    /// The other nodes that it believes to be alive.
+    /// The other nodes that it considers alive.
     pub members: Vec<MemberStatus>,
     /// The backend servers that it knows.
     pub backends: Vec<BackendStatus>,
@@ -47,7 +47,7 @@
     pub node: NodeName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Whether it takes no new work any more.
+    /// Whether it refuses new work.
     pub leaving: bool,
 }
 
@@ -69,14 +69,14 @@
     pub name: ClassName,
     /// Its priority; 0 is the most urgent.
     pub priority: u8,
-    /// The time within which the whole answer is to come.
+    /// The time within which the answer has to be complete.
     pub deadline: String,
 }
 
 impl NodeStatus {
-    /// Returns how the node is now.
+    /// Returns the node's current status.
     pub async fn of(cx: &Context) -> NodeStatus {
-        // Without the actor the node is about to end and has no queues any more.
+        // If the actor has ended, the node is stopping and its queues no longer exist.
         let queues = cx.dispatcher.send(Queues).await.unwrap_or_default();
         let in_force = cx.in_force();
         let node = &cx.settings.node;
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Returns the word for the state that the node is in.
+    /// Returns the node's state in a word for people.
     pub fn state(&self) -> &'static str {
         if self.leaving {
             return "leaving";
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! The sending side of messages between nodes.
+//! The client side of messages between nodes.
 
 use std::{
     collections::HashMap,
@@ -21,14 +21,15 @@
     peers::{Envelope, MESSAGE_LIMIT, PeerMessage, Sender},
 };
 
-/// The longest time until a reply begins.
+/// The maximum time until a reply begins.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How a reply has to arrive once it has begun: it may hold a whole configuration.
-const REPLY: BodyTimeouts = BodyTimeouts { idle: REPLY_TIMEOUT, total: Duration::from_secs(10) };
-/// The longest time for opening a connection to a peer.
+/// The timeouts of a reply's body, which may contain a whole configuration.
+const REPLY_BODY_TIMEOUTS: BodyTimeouts =
+    BodyTimeouts { idle: REPLY_TIMEOUT, total: Duration::from_secs(10) };
+/// The maximum time for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A `PeerClient` sends messages to other nodes and keeps connections to them.
+/// A `PeerClient` is the client for messages to other nodes; it reuses connections.
 #[derive(Default)]
 pub struct PeerClient {
     endpoints: Mutex<HashMap<SocketAddr, Arc<Endpoint>>>,
@@ -36,12 +37,12 @@
 }
 
 impl PeerClient {
-    /// Returns a client whose connections are protected where `tls` is given.
+    /// Returns a client that uses TLS if `tls` is given.
     pub fn new(tls: Option<Arc<Tls>>) -> PeerClient {
         PeerClient { endpoints: Mutex::default(), tls }
     }
 
-    /// Sends a message to the node at `address`, to one life of it where `to` is given.
+    /// Sends a message to the node at `address`, only to the incarnation `to` if given.
     ///
     /// The error says whether the peer may have acted on the message.
     pub async fn send<M: PeerMessage>(
@@ -54,7 +55,7 @@
         self.ask(cx, address, to, body).await.map(|(_, reply)| reply)
     }
 
-    /// Does what [`PeerClient::send`] does and returns who replied, too.
+    /// Does the same as [`PeerClient::send`] and also returns the sender of the reply.
     pub async fn ask<M: PeerMessage>(
         &self,
         cx: &Context,
@@ -72,7 +73,8 @@
         if status != StatusCode::OK {
             return Err(CallError::not_done(CallFault::Refused { status: status.as_u16() }));
         }
-        let reply = read_with_timeouts(answer.into_body(), MESSAGE_LIMIT, REPLY).await;
+        let reply =
+            read_with_timeouts(answer.into_body(), MESSAGE_LIMIT, REPLY_BODY_TIMEOUTS).await;
         let reply = reply.map_err(|error| CallError::unknown(error.into()))?;
         let reply: Envelope<M::Reply> =
             rmp_serde::from_slice(&reply).map_err(|_| CallError::unknown(CallFault::Malformed))?;
@@ -81,7 +83,7 @@
         Ok((reply.from, reply.body))
     }
 
-    /// Lets go of the connections to an address.
+    /// Drops the connections to an address.
     pub fn forget(&self, address: SocketAddr) {
         let mut endpoints = self.endpoints.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         endpoints.remove(&address);
--- a/crates/daemon/src/peers/gossip_message.rs
+++ b/crates/daemon/src/peers/gossip_message.rs
@@ -1,14 +1,14 @@
-//! The message that membership sends.
+//! The message of the membership protocol.
 
 use bulrushhall_coord::Gossip;
 use serde::{Deserialize, Serialize};
 
 use crate::{members::Member, peers::PeerMessage};
 
-/// A `GossipMessage` tells the receiver about members; the reply tells the sender.
+/// A `GossipMessage` is gossip about members for the receiver; the reply contains gossip for the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// What it tells.
+    /// The gossip.
     #[serde(rename = "g")]
     pub gossip: Gossip<Member>,
 }
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes: HTTP with a typed body, one kind of message a path.
+//! Messages between nodes: HTTP requests with a typed body, with one path per kind of message.
 
 mod client;
 mod gossip_message;
--- a/crates/daemon/src/peers/port.rs
+++ b/crates/daemon/src/peers/port.rs
@@ -1,4 +1,4 @@
-//! The port that takes messages of other nodes.
+//! The port that receives messages of other nodes.
 
 use std::{collections::HashMap, future::Future, sync::Arc, time::Duration};
 
@@ -16,44 +16,44 @@
     telemetry::{TRACE_PARENT, with_remote_parent},
 };
 
-/// The largest message between nodes, in bytes.
+/// The maximum size of a message between nodes, in bytes.
 pub const MESSAGE_LIMIT: usize = 4 << 20;
-/// The longest time that a message may take to arrive.
+/// The maximum time in which a message must arrive.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A `PeerHandler` takes one kind of message, still encoded.
+/// A `PeerHandler` is the handler of one kind of message in its encoded form.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Takes a message and returns the reply or the status that refuses it.
+    /// Handles a message and returns the encoded reply, or the HTTP status of a refusal.
     fn receive(&self, message: Bytes) -> BoxFuture<'_, Result<Vec<u8>, StatusCode>>;
 }
 
-/// A `PeerPort` answers other nodes.
+/// A `PeerPort` is the HTTP handler for other nodes' messages.
 pub struct PeerPort {
     cx: Arc<Context>,
     handlers: HashMap<&'static str, Arc<dyn PeerHandler>>,
 }
 
-struct Typed<M, F> {
+struct TypedHandler<M, F> {
     cx: Arc<Context>,
-    act: F,
+    handler_fn: F,
     kind: std::marker::PhantomData<fn(M)>,
 }
 
 impl PeerPort {
-    /// Returns a port that takes no message yet.
+    /// Returns a port without handlers.
     pub fn new(cx: Arc<Context>) -> PeerPort {
         PeerPort { cx, handlers: HashMap::new() }
     }
 
-    /// Registers what is done with one kind of message.
-    pub fn register<M, F, R>(&mut self, act: F)
+    /// Registers the handler of one kind of message.
+    pub fn register<M, F, R>(&mut self, handler_fn: F)
     where
         M: PeerMessage,
         F: Fn(Arc<Context>, Sender, M) -> R + Send + Sync + 'static,
         R: Future<Output = M::Reply> + Send + 'static,
     {
         let kind = std::marker::PhantomData;
-        let typed = Typed::<M, F> { cx: Arc::clone(&self.cx), act, kind };
+        let typed = TypedHandler::<M, F> { cx: Arc::clone(&self.cx), handler_fn, kind };
         self.handlers.insert(M::PATH, Arc::new(typed));
     }
 
@@ -75,7 +75,7 @@
     }
 }
 
-impl<M, F, R> PeerHandler for Typed<M, F>
+impl<M, F, R> PeerHandler for TypedHandler<M, F>
 where
     M: PeerMessage,
     F: Fn(Arc<Context>, Sender, M) -> R + Send + Sync + 'static,
@@ -85,13 +85,13 @@
         Box::pin(async move {
             let envelope: Envelope<M> =
                 rmp_serde::from_slice(&message).map_err(|_| StatusCode::BAD_REQUEST)?;
-            // IP numbers are used again: a message for an earlier life must not be acted on.
+            // IP addresses are reused: a message to an earlier incarnation must not be acted on.
             if envelope.to.is_some_and(|to| to != self.cx.incarnation) {
                 return Err(StatusCode::GONE);
             }
             self.cx.note_peer();
             self.cx.note_revision(envelope.from.revision, envelope.from.incarnation);
-            let body = (self.act)(Arc::clone(&self.cx), envelope.from, envelope.body).await;
+            let body = (self.handler_fn)(Arc::clone(&self.cx), envelope.from, envelope.body).await;
             let reply = Envelope { from: self.cx.sender(), to: None, body };
             rmp_serde::to_vec_named(&reply).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
         })
@@ -100,7 +100,7 @@
 
 impl Handler for PeerPort {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        // A message that belongs to no request is no trace of its own.
+        // A message without trace context belongs to no request and does not start a trace.
         let span = match req.headers().contains_key(TRACE_PARENT) {
             true => {
                 let node = &self.cx.settings.node.name;
--- a/crates/daemon/src/telemetry/collector.rs
+++ b/crates/daemon/src/telemetry/collector.rs
@@ -1,4 +1,4 @@
-//! Sending of spans to a collector that takes OTLP over HTTP.
+//! Export of spans to a collector that accepts OTLP over HTTP.
 
 use std::{error, fmt, future::Future, net::SocketAddr, pin::Pin, sync::Arc, time::Duration};
 
@@ -14,24 +14,24 @@
 };
 use tokio::runtime::Handle;
 
-/// The path under which a collector takes spans.
+/// The path at which a collector accepts spans.
 const SPANS_PATH: &str = "/v1/traces";
-/// The largest answer of a collector, in bytes.
+/// The maximum size of a collector's response, in bytes.
 const ANSWER_LIMIT: usize = 1 << 20;
-/// The longest time that a collector may take.
+/// The timeout of an export.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A `CollectorError` tells why spans cannot be sent.
+/// A `CollectorError` is the reason why spans cannot be exported.
 #[derive(Debug)]
 pub struct CollectorError(String);
 
-// Spans are sent from a thread of the library, while the connection belongs to the runtime.
+// The library exports spans from its own thread, whereas the connection needs the Tokio runtime.
 struct CollectorClient {
     endpoint: Arc<Endpoint>,
     runtime: Handle,
 }
 
-/// Returns what collects the given share of traces and sends them to `collector`.
+/// Returns a tracer provider that samples the given fraction of traces and exports them to `collector`.
 pub fn provider(collector: SocketAddr, share: f64) -> Result<SdkTracerProvider, CollectorError> {
     let options =
         EndpointOptions { response_timeout: ANSWER_TIMEOUT, ..EndpointOptions::default() };
@@ -76,7 +76,7 @@
 
 impl fmt::Display for CollectorError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "spans cannot be sent: {}", self.0)
+        write!(f, "spans cannot be exported: {}", self.0)
     }
 }
 
@@ -87,7 +87,7 @@
     request: Request<Bytes>,
 ) -> Result<Response<Bytes>, HttpError> {
     let (mut parts, body) = request.into_parts();
-    // The client addresses one server; the request line holds the path alone.
+    // The endpoint connects to a fixed address, so the request line contains only the path.
     parts.uri = SPANS_PATH.parse()?;
     let answer = endpoint.send(Request::from_parts(parts, Full::new(body))).await?;
     let (parts, body) = answer.into_parts();
--- a/crates/daemon/src/telemetry/lines.rs
+++ b/crates/daemon/src/telemetry/lines.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard output, written beside the serving path.
+//! Asynchronous output of log lines, which never blocks request handling.
 
 use std::{
     io::{self, Write},
@@ -12,30 +12,29 @@
 
 use tracing_subscriber::fmt::MakeWriter;
 
-/// The lines that wait to be written at most: some seconds' worth at the busiest, about 1 MB.
-const WAITING_MOST: usize = 4_096;
+/// The maximum number of queued lines: the output of some seconds at peak load, about 1 MB.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// `Lines` take log lines and never wait.
+/// `Lines` are a writer of log lines that never blocks.
 ///
-/// Whoever reads the output of the process may stop. A write would then block, and with it the
-/// request that was to be logged, and callers would see a node that hangs. Lines beyond the bound
-/// are dropped and counted instead.
+/// If the reader of the process's output stops, a direct write would block, and with it the request that
+/// is being logged. Lines beyond the bound are dropped and counted instead.
 #[derive(Clone)]
 pub struct Lines {
     sender: SyncSender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
 }
 
-/// A `Line` is one log line that is being put together.
+/// A `Line` is one log line that is being written.
 pub struct Line {
     lines: Lines,
     bytes: Vec<u8>,
 }
 
 impl Lines {
-    /// Starts the thread that writes to `out`.
+    /// Starts the thread that writes the lines to `out`.
     pub fn start(out: impl Write + Send + 'static) -> io::Result<Lines> {
-        let (sender, receiver) = sync_channel(WAITING_MOST);
+        let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&dropped);
         thread::Builder::new()
@@ -44,7 +43,7 @@
         Ok(Lines { sender, dropped })
     }
 
-    /// Returns how many lines were dropped since the last one that tells of it.
+    /// Returns how many lines were dropped since the last written report of dropped lines.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -82,11 +81,11 @@
         while let Ok(more) = lines.try_recv() {
             bytes.extend_from_slice(&more);
         }
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if 0 < lost {
-            bytes.extend_from_slice(format!("{{\"dropped_lines\":{lost}}}\n").as_bytes());
+        let dropped_count = dropped.swap(0, Ordering::Relaxed);
+        if 0 < dropped_count {
+            bytes.extend_from_slice(format!("{{\"dropped_lines\":{dropped_count}}}\n").as_bytes());
         }
-        // Nobody is left to tell that the output is gone; the node goes on serving.
+        // A closed output can't be reported anywhere; the node continues to serve.
         if out.write_all(&bytes).and_then(|()| out.flush()).is_err() {
             return;
         }
--- a/crates/daemon/src/telemetry/mod.rs
+++ b/crates/daemon/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! Logs and traces of the daemon's process.
+//! Logs and traces of the daemon process.
 
 mod collector;
 mod lines;
--- a/crates/daemon/src/telemetry/process.rs
+++ b/crates/daemon/src/telemetry/process.rs
@@ -1,4 +1,4 @@
-//! What a process logs and traces, set up once at its start.
+//! Setup of logs and traces at the start of the process.
 
 use std::io;
 
@@ -17,13 +17,13 @@
     telemetry::{inject, provider},
 };
 
-/// A `Telemetry` is what a process logs and traces.
+/// A `Telemetry` is the log and trace output of a process.
 pub struct Telemetry {
     provider: Option<SdkTracerProvider>,
 }
 
 impl Telemetry {
-    /// Sets up logs and traces for the rest of the process's life.
+    /// Installs the log and trace subscribers of the process.
     pub fn start(log: &LogSettings, trace: &TraceSettings) -> Result<Telemetry, Report<NodeError>> {
         let filter = EnvFilter::try_new(&log.filter).change_context(NodeError::Settings)?;
         let lines: Box<dyn Layer<Registry> + Send + Sync> = match log.format {
@@ -50,10 +50,10 @@
         Ok(Telemetry { provider })
     }
 
-    /// Sends what was collected and not sent yet.
+    /// Exports the remaining spans.
     pub async fn stop(self) {
         let Some(provider) = self.provider else { return };
-        // The library waits for its own thread, which in turn needs the runtime.
+        // The library blocks until its own thread has finished, which in turn needs the runtime.
         let _ = tokio::task::spawn_blocking(move || provider.shutdown()).await;
     }
 }
--- a/crates/daemon/src/telemetry/propagation.rs
+++ b/crates/daemon/src/telemetry/propagation.rs
@@ -1,4 +1,4 @@
-//! The trace context of requests: from headers into spans and from spans into headers.
+//! Propagation of the trace context between headers and spans.
 
 use std::collections::HashMap;
 
@@ -18,19 +18,19 @@
 
 struct HeadersMut<'a>(&'a mut HeaderMap);
 
-/// Makes `span` a child of the span that the headers name, if they name one.
+/// Makes `span` a child of the span in the trace context of the headers, if there is one.
 ///
-/// A malformed header is left out of account: a request must not fail because of its trace.
+/// A malformed header is ignored: a request must not fail because of its trace context.
 pub fn with_remote_parent(span: Span, headers: &HeaderMap) -> Span {
     if headers.contains_key(TRACE_PARENT) {
         let parent = TraceContextPropagator::new().extract(&Headers(headers));
-        // This fails only where spans are not collected at all.
+        // This fails only if spans are not collected at all.
         let _ = span.set_parent(parent);
     }
     span
 }
 
-/// Makes `span` a child of the span that [`trace_parent`] has named, maybe at another node.
+/// Makes `span` a child of the span that [`trace_parent`] has returned, possibly at another node.
 pub fn with_parent(span: Span, trace_parent: Option<&str>) -> Span {
     let Some(trace_parent) = trace_parent else { return span };
     let carrier = HashMap::from([(TRACE_PARENT.to_owned(), trace_parent.to_owned())]);
@@ -38,13 +38,13 @@
     span
 }
 
-/// Writes the current span into the headers of a request that leaves.
+/// Writes the trace context of the current span into the headers of an outgoing request.
 pub fn inject(headers: &mut HeaderMap) {
     let context = Span::current().context();
     TraceContextPropagator::new().inject_context(&context, &mut HeadersMut(headers));
 }
 
-/// Returns the text that names the current span, if it is collected.
+/// Returns the trace context of the current span as header text, if the span is collected.
 pub fn trace_parent() -> Option<String> {
     let mut carrier = HashMap::new();
     let context = Span::current().context();
