--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -156,7 +156,7 @@
             tokio::spawn(config_watch::catch_up(Arc::clone(&cx))),
             tokio::spawn(membership_actor::run_timer(membership)),
             tokio::spawn(notices::poll(Arc::clone(&cx))),
-            tokio::spawn(notices::spread(Arc::clone(&cx), updates)),
+            tokio::spawn(notices::send_updates(Arc::clone(&cx), updates)),
             tokio::spawn(notices::run_anti_entropy(Arc::clone(&cx))),
             tokio::spawn(tick(Arc::clone(&cx))),
             tokio::spawn(run_metrics_upkeep(Arc::clone(&cx))),
--- a/crates/daemon/src/notices.rs
+++ b/crates/daemon/src/notices.rs
@@ -89,7 +89,7 @@
 }
 
 /// Sends each newly known leaving VM to other nodes at once.
-pub async fn spread(cx: Arc<Context>, mut updates: mpsc::UnboundedReceiver<Vec<VmName>>) {
+pub async fn send_updates(cx: Arc<Context>, mut updates: mpsc::UnboundedReceiver<Vec<VmName>>) {
     while let Some(mut vms) = updates.recv().await {
         while let Ok(more) = updates.try_recv() {
             vms.extend(more);
--- a/crates/daemon/tests/shared_knowledge.rs
+++ b/crates/daemon/tests/cluster_state.rs
@@ -1,5 +1,6 @@
-//! What nodes learn from the service and from each other, and what they do without it.
-#![expect(clippy::print_stdout, reason = "a test tells the calls that it counted")]
+//! Propagation of configuration, membership and leaving VMs between nodes, also during an outage of the
+//! key-value service.
+#![expect(clippy::print_stdout, reason = "a test prints the calls that it counted")]
 
 use std::{
     collections::BTreeSet,
@@ -21,13 +22,13 @@
 use hyper::Method;
 use serde_json::Value;
 
-/// Far longer than anything here takes, so that a busy machine doesn't fail a test.
-const LONGEST: Duration = Duration::from_secs(20);
+/// The timeout of waiting for a condition; long enough that a busy machine doesn't fail a test.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < LONGEST, "waited too long until {what}");
+        assert!(started.elapsed() < TIMEOUT, "waited too long until {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -35,7 +36,7 @@
 async fn five_nodes() -> Testbed {
     let options = TestbedOptions { nodes: 5, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("a testbed");
-    until("all know each other", || {
+    wait_until("all know each other", || {
         testbed.nodes.iter().all(|node| node.context().members.current().len() == 4)
     })
     .await;
@@ -51,13 +52,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn change_reaches_all() {
+async fn config_change_reaches_all() {
     let testbed = five_nodes().await;
     let kv = client(&testbed);
     let text = format!("{}\n[team furnace]\nshare = 2\n", testbed.config);
     let applied = config_chain::apply(&kv, Some(Revision(1)), &text).await.expect("accepted");
     assert_eq!(applied.revision, Revision(2));
-    until("all have revision 2", || revisions(&testbed).iter().all(|found| *found == 2)).await;
+    wait_until("all have revision 2", || revisions(&testbed).iter().all(|found| *found == 2)).await;
 
     let racing = config_chain::apply(&kv, Some(Revision(1)), &testbed.config).await;
     let Err(ApplyError::Refused(refusal)) = racing else { panic!("accepted") };
@@ -67,34 +68,34 @@
     assert_eq!(first.expect("revision 1").text, testbed.config);
 }
 
-// A node is replaced while the key-value service is down. Callers that are sent to it would be
-// refused for the whole outage if it could get the configuration from the service alone.
+// A node is replaced while the key-value service is down. If it could read the configuration only from the
+// service, it would refuse its callers for the whole outage.
 #[tokio::test(flavor = "multi_thread")]
-async fn start_in_outage() {
+async fn start_during_outage() {
     let mut testbed = five_nodes().await;
     testbed.kv.switches().set(Faults { outage: true, ..Faults::default() });
     let settings = Default::default();
     testbed.add_node(5, "suva-b", &settings).await.expect("a node");
     let late = testbed.nodes[5].clone();
-    until("the new node has revision 1", || late.context().in_force().revision == Revision(1))
+    wait_until("the new node has revision 1", || late.context().in_force().revision == Revision(1))
         .await;
     let answered = testbed.caller(5).chat("motif-7b", "urgent", "which kiln", 8).await;
     assert!(answered.expect("an answer").whole);
 }
 
-// The cloud announces that a VM is taken back. A caller that is still sent to its node loses its
-// request, so every node must stop naming the address within seconds.
+// The cloud announces that it reclaims a VM. A caller that is still directed to its node loses its request,
+// so every node must stop giving out the address within seconds.
 #[tokio::test(flavor = "multi_thread")]
 async fn notice_reaches_all() {
     let testbed = five_nodes().await;
     let vm = testbed.nodes[2].context().settings.node.vm.clone();
     testbed.cloud.reclaim(&vm, Duration::from_secs(60));
-    until("all know that the VM is leaving", || {
+    wait_until("all know that the VM is leaving", || {
         testbed.nodes.iter().all(|node| node.context().leaving_vms.load().contains(&vm))
     })
     .await;
     assert!(testbed.nodes[2].context().is_leaving());
-    until("no node names its address", || {
+    wait_until("no node gives out its address", || {
         let others = testbed.nodes.iter().filter(|node| node.name().as_str() != "entry-2");
         others.into_iter().all(|node| {
             let members = node.context().members.current();
@@ -111,13 +112,13 @@
     assert!(entries.iter().all(|entry| entry["node"] != "entry-2"), "{listed}");
 }
 
-// A process dies without a word. Its address must leave the list although nobody announced it.
+// A process crashes without notice. Its address must be removed from the list.
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_node_removed() {
     let testbed = five_nodes().await;
     let name = testbed.nodes[1].name().clone();
     testbed.nodes[1].kill();
-    until("the dead node is no member", || {
+    wait_until("the dead node is removed", || {
         let alive = testbed.nodes.iter().filter(|node| node.is_alive());
         alive
             .into_iter()
@@ -126,9 +127,10 @@
     .await;
 }
 
-// The key-value service is down. Members, addresses and answers go on as before.
+// During an outage of the key-value service, nodes keep serving and their reads afterwards stay within
+// budget.
 #[tokio::test(flavor = "multi_thread")]
-async fn outage_goes_on() {
+async fn serving_during_outage() {
     let testbed = five_nodes().await;
     testbed.kv.switches().set(Faults { outage: true, ..Faults::default() });
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -141,8 +143,8 @@
     testbed.kv.switches().set(Faults::default());
     let text = format!("{}\n[team furnace]\nshare = 2\n", testbed.config);
     config_chain::apply(&client(&testbed), None, &text).await.expect("accepted");
-    until("all have revision 2", || revisions(&testbed).iter().all(|found| *found == 2)).await;
-    // Each node's reads stay within its budget, so the service is not met by a rush of calls.
+    wait_until("all have revision 2", || revisions(&testbed).iter().all(|found| *found == 2)).await;
+    // Each node's reads stay within its budget, so the recovered service is not overloaded.
     let after = testbed.kv.counts();
     let seconds = started.elapsed().as_secs_f64();
     let allowed =
@@ -151,26 +153,26 @@
     assert!((reads as f64) < allowed, "{reads} reads in {seconds} s");
 }
 
-// A node hears neither of the service nor of any other node. It can't know whether its
-// configuration is still in force, so callers must be sent elsewhere until it hears again.
+// A node has contact neither to the key-value service nor to any other node. It can't know whether its
+// configuration is still in force, so it must give no addresses to callers until it has contact again.
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_off() {
+async fn isolated_node_gives_no_addresses() {
     let options = TestbedOptions { nodes: 2, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("a testbed");
-    let left = testbed.nodes[0].clone();
-    until("both know each other", || left.context().members.current().len() == 1).await;
+    let survivor = testbed.nodes[0].clone();
+    wait_until("both know each other", || survivor.context().members.current().len() == 1).await;
     testbed.nodes[1].kill();
     testbed.kv.switches().set(Faults { outage: true, ..Faults::default() });
-    until("it sees that it is cut off", || left.context().is_isolated()).await;
+    wait_until("it detects that it is isolated", || survivor.context().is_isolated()).await;
     let listed = testbed.caller(0).json(Method::GET, "/v1/entries", &[], &Value::Null).await;
     assert_eq!(listed.expect("a list")["entries"], Value::Array(Vec::new()));
 
     testbed.kv.switches().set(Faults::default());
-    until("it is back", || !left.context().is_isolated()).await;
+    wait_until("it has contact again", || !survivor.context().is_isolated()).await;
 }
 
-// The service's rates grow more slowly than the fleet. Nodes that each ask it again and again
-// would take it from everyone at 340 nodes.
+// The rate limits of the key-value service grow more slowly than the number of nodes. If each node polled
+// it, 340 nodes would exhaust them.
 #[tokio::test(flavor = "multi_thread")]
 async fn few_calls() {
     let testbed = five_nodes().await;
@@ -181,15 +183,15 @@
     println!("in {seconds:.1} s: before {before:?}, after {after:?}");
     assert_eq!(after.writes, before.writes);
     assert_eq!(after.reads, before.reads);
-    // One watch of 3 s after the other at each of the five, with one on either side.
+    // Each of the five nodes runs consecutive watches of 3 s; one more at either end of the interval.
     let watches = (after.watches - before.watches) as f64;
     assert!(watches <= 5.0 * (seconds / 3.0 + 2.0), "{watches} watches in {seconds} s");
 }
 
-// A holder of a duty dies. The duty must pass to another node with a higher fencing number, and
-// never be held by both.
+// The holder of a duty crashes. Another node must take the duty over with a higher fencing number, and two
+// nodes must never hold it at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn duty_passes_on() {
+async fn duty_failover() {
     let testbed = five_nodes().await;
     let options = LeaseOptions {
         ttl: Duration::from_millis(1_500),
@@ -205,13 +207,13 @@
     let holders = || -> Vec<usize> {
         (0..tasks.len()).filter(|at| tasks[*at].duty().hold().is_some()).collect()
     };
-    until("one node holds the duty", || holders().len() == 1).await;
+    wait_until("one node holds the duty", || holders().len() == 1).await;
     let first = holders()[0];
     let fence = tasks[first].duty().hold().expect("held").fence;
     testbed.nodes[first].kill();
     let mut tasks: Vec<Option<DutyTask>> = tasks.into_iter().map(Some).collect();
     drop(tasks[first].take());
     let next = || tasks.iter().flatten().find_map(|task| task.duty().hold());
-    until("another node holds it", || next().is_some()).await;
+    wait_until("another node holds it", || next().is_some()).await;
     assert!(fence < next().expect("held").fence);
 }
--- a/crates/daemon/tests/new_engines.rs
+++ b/crates/daemon/tests/engine_discovery.rs
@@ -1,4 +1,4 @@
-//! Engines that are bought, and engines whose VMs leave, are noticed while nodes run.
+//! Running nodes discover new engines and stop using engines on leaving VMs.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,8 +10,8 @@
 use bulrushhall_standin::engine::{EngineOptions, EngineServer};
 use tokio::time::{Instant, sleep};
 
-/// The longest wait for something that comes by itself.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout of waiting for a condition.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn testbed() -> Testbed {
     let options = TestbedOptions { nodes: 3, engines: 2, ..TestbedOptions::default() };
@@ -29,32 +29,32 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bought_engine() {
+async fn new_engine_gets_work() {
     let testbed = testbed().await;
     let engine = add_engine(&testbed, "vm-new").await;
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     let mut number = 0;
     while engine.counts().generates == 0 {
-        assert!(Instant::now() < until, "the new engine gets no work");
+        assert!(Instant::now() < deadline, "the new engine gets no work");
         let caller = testbed.caller(number % 3);
         caller.chat(MODEL, "urgent", &format!("question {number}"), 4).await.expect("an answer");
         number += 1;
     }
 }
 
-// The cloud announces that it takes back an engine's VM. New work sent there from now on would
-// have to be computed again elsewhere; after a few seconds no node may send any.
+// The cloud announces that it reclaims an engine's VM. New work sent there would have to be recomputed
+// elsewhere, so that after a short time no node may send any.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_engine() {
+async fn leaving_engine_gets_no_work() {
     let testbed = testbed().await;
     testbed.cloud.reclaim(testbed.engines[0].vm(), Duration::from_secs(60));
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     let leaving = |at: usize| {
         let vms = testbed.nodes[at].context().leaving_vms.load();
         vms.contains(testbed.engines[0].vm())
     };
     while !(0..3).all(leaving) {
-        assert!(Instant::now() < until, "a node has not heard of the notice");
+        assert!(Instant::now() < deadline, "a node has not received the notice");
         sleep(Duration::from_millis(20)).await;
     }
     sleep(Duration::from_millis(500)).await;
--- a/crates/daemon/tests/bought_fleet.rs
+++ b/crates/daemon/tests/fleet_purchases.rs
@@ -1,4 +1,4 @@
-//! VMs are bought for a service, once, and replaced when a zone is taken back.
+//! VMs are bought exactly once for a service, and replaced after the cloud reclaims a zone.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,8 +16,8 @@
 use bulrushhall_policy::FleetPlan;
 use tokio::time::{Instant, sleep};
 
-/// The longest wait for something that comes by itself.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The timeout of waiting for a condition.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn managed_testbed() -> (Testbed, Arc<dyn KeyValue>) {
     let options = TestbedOptions {
@@ -45,32 +45,32 @@
 }
 
 async fn wait_for_ready(key_value: &Arc<dyn KeyValue>, count: usize) -> FleetPlan {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         let plan = plan(key_value).await;
         let ready = plan.slots.values().filter(|slot| slot.state.is_ready()).count();
         if ready == count {
             return plan;
         }
-        assert!(Instant::now() < until, "{ready} of {count} engines: {plan:?}");
+        assert!(Instant::now() < deadline, "{ready} of {count} engines: {plan:?}");
         sleep(Duration::from_millis(100)).await;
     }
 }
 
-// A service starts with no engine at all. Its VMs have to be bought, one for each slot of the plan
-// and no more, and serve callers.
+// A service starts without engines. Exactly one VM must be bought for each slot of the plan, and the new
+// engines must serve callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_are_bought_once() {
+async fn one_vm_bought_per_slot() {
     let (testbed, key_value) = managed_testbed().await;
     wait_for_ready(&key_value, 4).await;
     assert_eq!(testbed.machines.engines().len(), 4);
-    // The other node hears of the new engines from the list of VMs, a moment later; until then it
-    // refuses as not run.
-    let until = Instant::now() + PATIENCE;
+    // The other node discovers the new engines from the VM list a moment later; until then it refuses
+    // requests as not run.
+    let deadline = Instant::now() + TIMEOUT;
     let answered = loop {
         match testbed.caller(1).chat(MODEL, "urgent", "which glaze", 8).await {
             Ok(answered) => break answered,
-            Err(CallerError::Refused { ran: Ran::No, .. }) if Instant::now() < until => {
+            Err(CallerError::Refused { ran: Ran::No, .. }) if Instant::now() < deadline => {
                 sleep(Duration::from_millis(100)).await;
             }
             Err(error) => panic!("{error}"),
@@ -79,10 +79,10 @@
     assert!(answered.whole);
 }
 
-// A zone is taken back and sells nothing. The engine lost there is replaced in the other zones, so
-// that the next lost zone leaves enough of them again.
+// The cloud reclaims a zone and sells nothing there. The lost engine must be replaced in the other zones,
+// so that enough engines remain if another zone is lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_zone_is_replaced() {
+async fn lost_zone_replaced() {
     let (testbed, key_value) = managed_testbed().await;
     wait_for_ready(&key_value, 4).await;
     testbed.refuse_in(&["suva-a"]);
--- a/crates/daemon/tests/log_lines.rs
+++ b/crates/daemon/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! The log lines of a daemon that runs as a process of its own.
+//! The log lines of a daemon that runs as a separate process.
 
 use std::{
     io::{BufRead, BufReader, Read, Write},
@@ -19,10 +19,10 @@
 const KEY: &str = "order-key-of-the-workshop";
 const FILTER: &str = "bulrushhall_daemon=trace,bulrushhall_external=trace,info";
 
-// An operator hands the logs of a bad night to a helper outside. Prompts or keys in them would be
-// given away with them, so the test asks for all lines that there are.
+// Operators may share logs with third parties, so logs must contain no prompts or idempotency keys at any
+// level. The test enables all levels.
 #[tokio::test(flavor = "multi_thread")]
-async fn numbered_and_silent() {
+async fn known_events_without_private_data() {
     let options = TestbedOptions { nodes: 0, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("stand-ins");
     let path = std::env::temp_dir().join(format!("bulrushd-log-{}.ini", std::process::id()));
@@ -53,9 +53,9 @@
         ready["callers"].as_str().expect("an address").parse().expect("an address");
 
     let caller = Caller::new(callers, "workshop");
-    let until = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     while caller.chat(MODEL, "urgent", PROMPT, 4).await.is_err() {
-        assert!(Instant::now() < until, "no answer");
+        assert!(Instant::now() < deadline, "no answer");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let path = format!("/v1/services/{LEDGER}/orders");
@@ -78,8 +78,9 @@
         let line: Value = serde_json::from_str(line).unwrap_or_else(|_| panic!("{line}"));
         numbers.extend(line["fields"]["event"].as_u64());
     }
-    let lived = [Event::NodeStarted, Event::RequestRefused, Event::NodeLeaving, Event::NodeStopped];
-    for event in lived {
+    let expected =
+        [Event::NodeStarted, Event::RequestRefused, Event::NodeLeaving, Event::NodeStopped];
+    for event in expected {
         assert!(numbers.contains(&u64::from(event.number())), "{event:?} in {numbers:?}");
     }
     let known = |number: &u64| Event::ALL.iter().any(|at| u64::from(at.number()) == *number);
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn bad_filter() {
+fn invalid_filter() {
     let path = std::env::temp_dir().join(format!("bulrushd-filter-{}.ini", std::process::id()));
     std::fs::write(&path, "[log]\nfilter = a=b=c\n").expect("a settings file");
     let output = Command::new(env!("CARGO_BIN_EXE_bulrushd"))
@@ -96,6 +97,6 @@
         .output()
         .expect("a daemon that ends");
     assert_eq!(output.status.code(), Some(2));
-    let told = String::from_utf8_lossy(&output.stderr);
-    assert!(told.contains("settings"), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(stderr.contains("settings"), "{stderr}");
 }
--- a/crates/daemon/tests/metrics_page.rs
+++ b/crates/daemon/tests/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The page of metrics, the catalogue and the alert rules say the same.
+//! The metrics page, the catalogue and the alert rules agree.
 
 use std::{collections::BTreeMap, fs, path::Path};
 
@@ -21,13 +21,13 @@
         }
         assert!(!meaning.is_empty(), "{name} has no meaning");
         let row = ((*kind).to_owned(), (*labels).to_owned());
-        assert!(rows.insert(name.to_owned(), row).is_none(), "{name} stands twice");
+        assert!(rows.insert(name.to_owned(), row).is_none(), "{name} is listed twice");
     }
     rows
 }
 
 #[test]
-fn page_and_catalogue() {
+fn page_matches_catalogue() {
     let rows = rows();
     for metric in Metric::ALL {
         let kind = match metric.kind() {
@@ -36,37 +36,37 @@
             Kind::Histogram => "histogram",
         };
         let row = rows.get(metric.name());
-        let (told_kind, labels) =
+        let (page_kind, labels) =
             row.unwrap_or_else(|| panic!("{} is missing in docs/METRICS.md", metric.name()));
-        assert_eq!(told_kind, kind, "{}", metric.name());
+        assert_eq!(page_kind, kind, "{}", metric.name());
         assert_eq!(*labels, metric.labels().join(", "), "{}", metric.name());
     }
     for name in rows.keys() {
         let mut known = Metric::ALL.iter().any(|metric| metric.name() == name);
         known |= ROUTE_METRICS.iter().any(|metric| metric.name == name);
-        assert!(known, "{name} stands on the page only");
+        assert!(known, "{name} is only on the page");
     }
 }
 
 #[test]
-fn metrics_of_routes() {
+fn page_matches_route_metrics() {
     let rows = rows();
     for metric in ROUTE_METRICS {
-        let told = rows.get(metric.name).map(|(kind, labels)| (kind.as_str(), labels.as_str()));
-        assert_eq!(told, Some((metric.kind, metric.labels)), "{}", metric.name);
+        let row = rows.get(metric.name).map(|(kind, labels)| (kind.as_str(), labels.as_str()));
+        assert_eq!(row, Some((metric.kind, metric.labels)), "{}", metric.name);
     }
 }
 
 #[test]
-fn order_of_catalogue() {
+fn catalogue_order() {
     for (at, metric) in Metric::ALL.into_iter().enumerate() {
         assert_eq!(metric as usize, at, "{metric:?}");
     }
 }
 
-// An alert on a metric that does not exist never fires, and nobody notices until it is needed.
+// An alert on a metric that does not exist never fires, which nobody would notice.
 #[test]
-fn alert_rules() {
+fn alerts_use_known_metrics() {
     let rules = read("docs/operations/alerts.yml");
     let mut named = 0;
     let separator = |c: char| !c.is_ascii_alphanumeric() && c != '_';
@@ -75,7 +75,7 @@
             Kind::Histogram => word == format!("{}_bucket", metric.name()),
             Kind::Counter | Kind::Gauge => word == metric.name(),
         });
-        assert!(known, "{word} is no metric");
+        assert!(known, "{word} is not a metric");
         named += 1;
     }
     assert!(5 <= named, "only {named} metrics are named");
--- a/crates/daemon/tests/route_process.rs
+++ b/crates/daemon/tests/route_process.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process of its own on the co-operative's platform.
+//! The daemon as a separate process that serves routes on the platform of `platform/`.
 
 #[path = "../../../platform/tests/harness/mod.rs"]
 mod harness;
@@ -48,10 +48,10 @@
     assert!(sent.success());
 }
 
-// The process is told to stop while a request is being answered. The request must get its answer, and
-// the process end by itself, out of the addresses first.
+// The process receives SIGTERM during a request. It must first report that it is not ready, then finish
+// the request and exit with success.
 #[tokio::test(flavor = "multi_thread")]
-async fn planned_stop() {
+async fn sigterm_during_request() {
     let harness = Harness::without_node().await;
     let text = harness.settings_text("node-9");
     let mut process = start(&text, Stdio::null());
@@ -62,11 +62,11 @@
     let port = start_server(std::sync::Arc::<Backend>::clone(&backend));
     harness.store.put("servers/b-1", &backend_record(LEDGER, port.address, "ready").to_string());
     wait_until(async || post(callers, "a-0", "/order/0").await.status == 200).await;
-    let asked = tokio::spawn(async move { post(callers, "a-1", "/order/1").await });
+    let request = tokio::spawn(async move { post(callers, "a-1", "/order/1").await });
     wait_until(async || backend.received().iter().any(|seen| seen.path == "/order/1")).await;
     terminate(&process);
     wait_until(async || get_status(readiness, "/readyz").await == Some(503)).await;
-    let answer = asked.await.expect("an answer");
+    let answer = request.await.expect("an answer");
     assert_eq!((answer.status, answer.body.as_str()), (200, "done"));
     let ended = tokio::task::spawn_blocking(move || {
         let status = process.child.wait().expect("an end");
@@ -75,8 +75,8 @@
     assert!(ended.await.expect("an end").0.success());
 }
 
-// Nobody reads the output of the process. Its pipe fills up, and each write to it would wait for ever;
-// requests must be served all the same.
+// Nobody reads the output of the process. Once its pipe is full, direct writes would block forever;
+// requests must still be served.
 #[tokio::test(flavor = "multi_thread")]
 async fn unread_output() {
     let harness = Harness::without_node().await;
--- a/crates/daemon/tests/settings_page.rs
+++ b/crates/daemon/tests/settings_page.rs
@@ -1,4 +1,4 @@
-//! The page of settings names every key with its default, and no others.
+//! The settings page lists exactly the existing keys with their defaults.
 
 use std::{collections::BTreeMap, fs, path::Path};
 
@@ -90,12 +90,12 @@
 #[case("endpoints", keys_of::<EndpointSettings>())]
 #[case("bounds", keys_of::<BoundSettings>())]
 #[case("fleet", keys_of::<FleetSettings>())]
-fn keys_and_defaults(#[case] kind: &str, #[case] keys: BTreeMap<String, String>) {
+fn keys_and_defaults_match(#[case] kind: &str, #[case] keys: BTreeMap<String, String>) {
     assert_eq!(page().get(kind), Some(&keys), "docs/SETTINGS.md, [{kind}]");
 }
 
 #[test]
-fn sections() {
+fn all_sections_on_page() {
     let of_gateway = GATEWAY_KINDS.into_iter().filter(|kind| *kind != "log");
     let known = SECTION_KINDS.into_iter().chain(NODE_KINDS).chain(of_gateway);
     let mut known: Vec<&str> = known.collect();
@@ -104,23 +104,23 @@
 }
 
 #[test]
-fn all_problems_at_once() {
+fn all_problems_reported() {
     let text =
         "[node]\nnme = entry-1\ncallers = 10.0.0.1\n\n[limits]\nbody = 2\n\n[tls]\nkey = k\n";
     let Err(CoreError::Config(problems)) = Settings::parse("node.ini", text) else {
-        panic!("the settings were taken");
+        panic!("the settings were accepted");
     };
     let lines: Vec<usize> = problems.iter().map(|problem| problem.line).collect();
     assert_eq!(lines, [2, 3, 6, 8], "{problems:#?}");
     assert!(problems[0].to_string().contains("did you mean name?"), "{}", problems[0]);
 }
 
-// A share of 0 would order every engine that the platform has, and users would pay for them.
+// A target utilization of 0 would order every engine that the platform offers, at the users' expense.
 #[test]
-fn impossible_fleet() {
+fn invalid_fleet_settings() {
     let text = "[fleet]\nused_most = 0\nspread = NaN\nkept_starts = -1\nstand_in_starts = 1\n";
     let Err(CoreError::Config(problems)) = RouteSettings::parse("node.ini", text) else {
-        panic!("the settings were taken");
+        panic!("the settings were accepted");
     };
     let found: Vec<String> = problems.iter().map(|problem| problem.message.clone()).collect();
     assert_eq!(found.len(), 3, "{found:?}");
--- a/crates/daemon/tests/tls_ports.rs
+++ b/crates/daemon/tests/tls_ports.rs
@@ -1,4 +1,4 @@
-//! The three ports protected by TLS, and certificates that change while a node runs.
+//! TLS on the three ports, and certificate changes while a node runs.
 
 use std::{fs, net::SocketAddr, path::PathBuf, sync::Arc, time::Duration};
 
@@ -22,7 +22,7 @@
     time::{sleep, timeout},
 };
 
-const WAIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Authority {
     issuer: Issuer<'static, KeyPair>,
@@ -85,7 +85,7 @@
     Testbed::start(options).await.expect("a testbed")
 }
 
-async fn ask(address: SocketAddr, path: &str, tls: Option<Tls>) -> Result<StatusCode, CallError> {
+async fn get(address: SocketAddr, path: &str, tls: Option<Tls>) -> Result<StatusCode, CallError> {
     let options = EndpointOptions { tls: tls.map(Arc::new), ..EndpointOptions::default() };
     let req = Request::get(path).body(Full::new(Bytes::new())).expect("a request");
     Endpoint::new(address, options).send(req).await.map(|answer| answer.status())
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_ports() {
+async fn tls_on_all_ports() {
     let directory = Directory::new("all");
     let (files, operator) = (directory.files("node"), directory.files("operator"));
     let authority = Authority::new();
@@ -104,46 +104,46 @@
     authority.sign(&operator);
     let testbed = protected_nodes(&files, 2).await;
 
-    let met = async {
+    let all_joined = async {
         while testbed.nodes.iter().any(|node| node.context().members.current().len() != 1) {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(WAIT, met).await.expect("nodes that know each other");
+    timeout(TIMEOUT, all_joined).await.expect("nodes that know each other");
     let node = &testbed.nodes[0];
-    assert_eq!(ask(node.callers(), "/v1/models", load(&operator)).await, Ok(StatusCode::OK));
-    assert_eq!(ask(node.operators(), "/readyz", load(&operator)).await, Ok(StatusCode::OK));
+    assert_eq!(get(node.callers(), "/v1/models", load(&operator)).await, Ok(StatusCode::OK));
+    assert_eq!(get(node.operators(), "/readyz", load(&operator)).await, Ok(StatusCode::OK));
 }
 
-// Somebody on the network connects to the ports of nodes and operators, plainly or with a
-// certificate of their own making. Taken in, they could hand over requests or drain nodes.
+// An attacker on the network connects to the ports for peers and operators without TLS or with a
+// certificate of another CA. If accepted, they could hand over requests or drain nodes.
 #[rstest]
 #[case::plain(false)]
 #[case::other_authority(true)]
 #[tokio::test(flavor = "multi_thread")]
-async fn strangers(#[case] with_certificate: bool) {
+async fn untrusted_clients_refused(#[case] with_certificate: bool) {
     let directory = Directory::new(if with_certificate { "other" } else { "plain" });
-    let (files, stranger) = (directory.files("node"), directory.files("stranger"));
+    let (files, attacker) = (directory.files("node"), directory.files("attacker"));
     Authority::new().sign(&files);
-    Authority::new().sign(&stranger);
-    // The stranger trusts the nodes, so that only the nodes' own check can refuse it.
-    fs::copy(&files.authority, &stranger.authority).expect("a copied authority");
+    Authority::new().sign(&attacker);
+    // The attacker's client trusts the nodes' CA, so that only the nodes' own check can refuse it.
+    fs::copy(&files.authority, &attacker.authority).expect("a copied authority");
     let testbed = protected_nodes(&files, 1).await;
 
     let node = &testbed.nodes[0];
     let peers = node.context().settings.node.peers;
     for address in [node.operators(), peers] {
-        let tls = with_certificate.then(|| load(&stranger)).flatten();
-        let answer = ask(address, "/readyz", tls).await;
+        let tls = with_certificate.then(|| load(&attacker)).flatten();
+        let answer = get(address, "/readyz", tls).await;
         assert!(answer.is_err(), "{address} answered {answer:?}");
     }
     assert!(!node.context().is_leaving());
 }
 
-// A certificate is about to run out and the operator puts a new one in place. A node that went on
-// with the old one would be cut off from the others the day after.
+// The operator replaces a certificate that is about to expire. A node that kept using the old one couldn't
+// connect to the others after its expiry.
 #[tokio::test(flavor = "multi_thread")]
-async fn changed_certificates() {
+async fn certificates_reloaded() {
     let directory = Directory::new("changed");
     let (files, operator) = (directory.files("node"), directory.files("operator"));
     Authority::new().sign(&files);
@@ -152,27 +152,27 @@
 
     let second = Authority::new();
     second.sign(&operator);
-    assert!(ask(operators, "/readyz", load(&operator)).await.is_err());
+    assert!(get(operators, "/readyz", load(&operator)).await.is_err());
     second.sign(&files);
-    let taken = async {
-        while ask(operators, "/readyz", load(&operator)).await != Ok(StatusCode::OK) {
+    let reloaded = async {
+        while get(operators, "/readyz", load(&operator)).await != Ok(StatusCode::OK) {
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(WAIT, taken).await.expect("the new certificates in use");
+    timeout(TIMEOUT, reloaded).await.expect("the new certificates in use");
 }
 
-// The operator's tool dies while it writes the new certificate. A node that took half a file
-// would refuse every connection.
+// The operator's tool crashes while it writes the new certificate. A node that loaded the partial file would
+// refuse every connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn half_written_file() {
+async fn partial_certificate_file() {
     let directory = Directory::new("half");
     let (files, operator) = (directory.files("node"), directory.files("operator"));
     let authority = Authority::new();
     authority.sign(&files);
     authority.sign(&operator);
     let tls = Tls::load(files.clone()).expect("certificates");
-    fs::write(&files.certificate, "-----BEGIN CERTIFICATE-----\nMIIB").expect("half a file");
+    fs::write(&files.certificate, "-----BEGIN CERTIFICATE-----\nMIIB").expect("a partial file");
     assert!(tls.reload().is_err());
 
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -187,10 +187,10 @@
     assert!(serving.await.expect("a served connection").is_ok());
 }
 
-// A client opens connections and never says a word. Handshakes that were made one after another
-// would keep everyone else out.
+// A client opens connections and sends nothing. If handshakes ran sequentially, it would block all other
+// clients.
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_handshakes() {
+async fn silent_clients_do_not_block() {
     let directory = Directory::new("silent");
     let files = directory.files("node");
     Authority::new().sign(&files);
@@ -200,12 +200,12 @@
     for _ in 0..20 {
         silent.push(TcpStream::connect(callers).await.expect("a connection"));
     }
-    let answer = timeout(Duration::from_secs(2), ask(callers, "/v1/models", load(&files))).await;
+    let answer = timeout(Duration::from_secs(2), get(callers, "/v1/models", load(&files))).await;
     assert_eq!(answer.expect("an answer in time"), Ok(StatusCode::OK));
 
     let mut plain = TcpStream::connect(callers).await.expect("a connection");
     plain.write_all(b"GET /v1/models HTTP/1.1\r\nhost: a\r\n\r\n").await.expect("a sent request");
     let mut answer = Vec::new();
-    let _ = timeout(WAIT, plain.read_to_end(&mut answer)).await.expect("a closed connection");
+    let _ = timeout(TIMEOUT, plain.read_to_end(&mut answer)).await.expect("a closed connection");
     assert!(!answer.starts_with(b"HTTP/1.1"), "{answer:?}");
 }
--- a/crates/daemon/tests/joined_trace.rs
+++ b/crates/daemon/tests/trace_propagation.rs
@@ -1,4 +1,4 @@
-//! One request is one trace, from its caller over nodes to engines, also when it moves.
+//! A request is one trace from its caller through nodes to engines, also when it moves between nodes.
 
 use std::{
     sync::{Arc, Mutex},
@@ -33,10 +33,10 @@
 
 const TRACE: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
 const CALLER_SPAN: &str = "00f067aa0ba902b7";
-const LIMIT: usize = 4 << 20;
-const WAIT: Duration = Duration::from_secs(10);
+const BODY_LIMIT: usize = 4 << 20;
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A `Collector` is a stand-in that takes spans as a collector does.
+/// A `Collector` is a stand-in for a trace collector that stores the received spans.
 #[derive(Default)]
 struct Collector {
     spans: Mutex<Vec<Span>>,
@@ -46,7 +46,7 @@
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
         Box::pin(async move {
             assert_eq!(req.uri().path(), "/v1/traces");
-            let body = read_limited(req.into_body(), LIMIT, WAIT).await.expect("a body");
+            let body = read_limited(req.into_body(), BODY_LIMIT, TIMEOUT).await.expect("a body");
             let sent = ExportTraceServiceRequest::decode(body).expect("spans");
             let mut spans = self.spans.lock().expect("the spans");
             for resource in sent.resource_spans {
@@ -60,7 +60,7 @@
 }
 
 impl Collector {
-    fn of_trace(&self) -> Vec<Span> {
+    fn spans_of_trace(&self) -> Vec<Span> {
         let spans = self.spans.lock().expect("the spans");
         spans.iter().filter(|span| hex(&span.trace_id) == TRACE).cloned().collect()
     }
@@ -76,7 +76,7 @@
     Some(format!("{value:?}"))
 }
 
-fn named<'a>(spans: &'a [Span], name: &str) -> Vec<&'a Span> {
+fn spans_named<'a>(spans: &'a [Span], name: &str) -> Vec<&'a Span> {
     spans.iter().filter(|span| span.name == name).collect()
 }
 
@@ -104,22 +104,22 @@
     flushed.expect("a flush").expect("sent spans");
 }
 
-// A node leaves while it answers: the request moves to another node. Without a joined trace, an
-// operator who asks why the answer took so long sees it end at the first node.
+// A node shuts down during an answer, so the request moves to another node. If the trace context got lost,
+// an operator who looks for the cause of a slow answer would see its trace end at the first node.
 #[tokio::test(flavor = "multi_thread")]
-async fn joined_over_handoff() {
+async fn one_trace_across_handoff() {
     let (collector, provider) = start_collector().await;
-    // The time to drain is shorter than the answer, so that it has to move.
+    // The drain limit is shorter than the answer, so that the request has to move.
     let limits = LimitSettings { drain: Duration::from_secs(1).into(), ..LimitSettings::default() };
     let settings = Settings { limits, ..Settings::default() };
     let options = TestbedOptions { nodes: 3, settings, ..TestbedOptions::default() };
     let testbed = Testbed::start(options).await.expect("a testbed");
-    let know_each_other = async {
+    let all_joined = async {
         while testbed.nodes.iter().any(|node| node.context().members.current().len() != 2) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(WAIT, know_each_other).await.expect("nodes that know each other");
+    tokio::time::timeout(TIMEOUT, all_joined).await.expect("nodes that know each other");
 
     let body = json!({
         "model": MODEL,
@@ -140,41 +140,41 @@
         loop {
             let at = |node: usize| testbed.nodes[node].context().answers.unfinished();
             flush(&provider).await;
-            let runs = named(&collector.of_trace(), "run").len();
+            let runs = spans_named(&collector.spans_of_trace(), "run").len();
             if 1 < runs && at(1) + at(2) == 0 {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    tokio::time::timeout(2 * WAIT, finished).await.expect("a finished answer");
+    tokio::time::timeout(2 * TIMEOUT, finished).await.expect("a finished answer");
     flush(&provider).await;
-    let spans = collector.of_trace();
+    let spans = collector.spans_of_trace();
 
-    let requests = named(&spans, "request");
+    let requests = spans_named(&spans, "request");
     assert_eq!(requests.len(), 1, "{spans:#?}");
     assert_eq!(hex(&requests[0].parent_span_id), CALLER_SPAN);
-    let runs = named(&spans, "run");
+    let runs = spans_named(&spans, "run");
     let nodes: Vec<Option<String>> = runs.iter().map(|run| attribute(run, "node")).collect();
     assert_eq!(runs.len(), 2, "{nodes:?}");
     assert_ne!(nodes[0], nodes[1]);
     for run in &runs {
         assert_eq!(run.parent_span_id, requests[0].span_id);
-        let attempts: Vec<&Span> = named(&spans, "attempt")
+        let attempts: Vec<&Span> = spans_named(&spans, "attempt")
             .into_iter()
             .filter(|at| at.parent_span_id == run.span_id)
             .collect();
         assert!(!attempts.is_empty(), "a run without attempts at {:?}", attribute(run, "node"));
         for attempt in attempts {
-            let engine = named(&spans, "call");
-            let called = engine.iter().any(|call| call.parent_span_id == attempt.span_id);
+            let calls = spans_named(&spans, "call");
+            let called = calls.iter().any(|call| call.parent_span_id == attempt.span_id);
             assert!(called, "an attempt without a call to an engine");
         }
     }
     for span in &spans {
         let parent = hex(&span.parent_span_id);
         let known = spans.iter().any(|other| other.span_id == span.parent_span_id);
-        assert!(known || parent == CALLER_SPAN, "{} hangs in the air", span.name);
+        assert!(known || parent == CALLER_SPAN, "{} has an unknown parent", span.name);
         for attribute in &span.attributes {
             let text = format!("{attribute:?}");
             assert!(!text.contains("takes a while"), "a prompt in a span: {text}");
