--- a/crates/daemon/src/config_chain.rs
+++ b/crates/daemon/src/config_chain.rs
@@ -14,7 +14,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// The number of earlier revisions that are kept.
+/// The number of earlier revisions that remain stored.
 pub const KEPT_REVISIONS: u64 = 128;
 
 /// An `Applied` is a configuration that was accepted with certainty.
--- a/crates/daemon/src/config_watch.rs
+++ b/crates/daemon/src/config_watch.rs
@@ -69,7 +69,7 @@
             continue;
         }
         version = match kv.watch(HEAD_KEY, after, WATCH_WAIT).await {
-            Ok(version) if version.changes.is_empty() => {
+            Ok(found) if found.changes.is_empty() => {
                 cx.note_contact();
                 Some(after)
             }
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -57,7 +57,7 @@
     pub clock: Clock,
     /// The configuration in force.
     pub config: ArcSwap<InForce>,
-    /// The answers in progress and kept.
+    /// The answers in progress and the stored ones.
     pub answers: Answers,
     /// The known backend servers.
     pub backends: Backends,
@@ -75,9 +75,9 @@
     pub team_limiter: Mutex<TeamLimiter>,
     /// The node's metrics.
     pub meters: Arc<Meters>,
-    /// The platform's key-value service, where one is set.
+    /// The platform's key-value service, if configured.
     pub key_value: Option<Arc<dyn KeyValue>>,
-    /// The other nodes that are believed to be alive.
+    /// The other nodes that are considered alive.
     pub members: Members,
     /// The client that sends messages to other nodes.
     pub peers: PeerClient,
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -40,7 +40,7 @@
 const PAUSE: Duration = Duration::from_secs(1);
 /// The maximum time that an engine gets to finish its requests before its VM is released.
 const DRAIN_LIMIT: Duration = Duration::from_secs(600);
-/// The number of price units of the cloud API (thousandths of a cent) in a thousandth of the currency unit.
+/// The price units of the cloud API (thousandths of a cent) in a thousandth of the currency unit.
 const PRICE_UNIT: u64 = 100;
 
 /// The stored plan differs, or may differ, from what this node wrote last.
@@ -66,7 +66,7 @@
     let mut holder: Option<Holder> = None;
     loop {
         sleep(PAUSE).await;
-        // Without managed_engines engines, holding the lease would only cost calls of the key-value service.
+        // Without managed engines, holding the lease would only cost calls of the key-value service.
         if managed_engines(&cx.in_force().deployment).is_empty() {
             (task, holder) = (None, None);
             continue;
@@ -145,11 +145,11 @@
     }
 
     async fn observe_vms(&mut self, deployment: &Deployment) -> Result<(), PlanLost> {
-        let managed_engines: Vec<&ServiceName> =
+        let managed_services: Vec<&ServiceName> =
             managed_engines(deployment).into_iter().map(|(service, _)| service).collect();
         let mut listed = Vec::new();
         for vm in self.cx.backends.listed() {
-            if vm.service.as_ref().is_some_and(|service| managed_engines.contains(&service)) {
+            if vm.service.as_ref().is_some_and(|service| managed_services.contains(&service)) {
                 listed.push(vm.vm);
             }
         }
--- a/crates/daemon/src/membership_actor.rs
+++ b/crates/daemon/src/membership_actor.rs
@@ -132,14 +132,14 @@
     fn deliver(
         &self,
         to: SocketAddr,
-        to_incarnation: Option<Incarnation>,
+        target: Option<Incarnation>,
         gossip: Gossip<Member>,
         address: &WeakAddress<MembershipActor>,
     ) {
         let (cx, address) = (Arc::clone(&self.cx), address.clone());
         tokio::spawn(async move {
-            let message = GossipMessage { gossip };
-            let Ok((from, replies)) = cx.peers.ask(&cx, to, to_incarnation, message).await else {
+            let msg = GossipMessage { gossip };
+            let Ok((from, replies)) = cx.peers.ask(&cx, to, target, msg).await else {
                 return;
             };
             for gossip in replies {
@@ -189,10 +189,10 @@
 
 /// Registers the handler of gossip messages.
 pub fn register(port: &mut PeerPort, address: Address<MembershipActor>) {
-    port.register(move |_cx, from, message: GossipMessage| {
+    port.register(move |_cx, from, msg: GossipMessage| {
         let address = address.clone();
         async move {
-            let received = Received { from: from.incarnation, gossip: message.gossip };
+            let received = Received { from: from.incarnation, gossip: msg.gossip };
             address.send(received).await.unwrap_or_default()
         }
     });
--- a/crates/daemon/src/meters/catalogue.rs
+++ b/crates/daemon/src/meters/catalogue.rs
@@ -45,7 +45,7 @@
     Revision,
     /// The number of revisions that the node is behind the highest reported one.
     RevisionLag,
-    /// The other nodes that are believed to be alive.
+    /// The other nodes that are considered alive.
     Members,
     /// The known backend servers.
     Backends,
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -44,7 +44,7 @@
 
     /// Sends a message to the node at `address`, only to the incarnation `to` if given.
     ///
-    /// The error says whether the peer may have acted on the message.
+    /// The error contains whether the peer may have acted on the message.
     pub async fn send<M: PeerMessage>(
         &self,
         cx: &Context,
