--- a/crates/daemon/src/membership_actor.rs
+++ b/crates/daemon/src/membership_actor.rs
@@ -139,9 +139,7 @@
         let (cx, address) = (Arc::clone(&self.cx), address.clone());
         tokio::spawn(async move {
             let msg = GossipMessage { gossip };
-            let Ok((from, replies)) = cx.peers.ask(&cx, to, target, msg).await else {
-                return;
-            };
+            let Ok((from, replies)) = cx.peers.ask(&cx, to, target, msg).await else { return };
             for gossip in replies {
                 let _ = address.send(Received { from: from.incarnation, gossip }).await;
             }
