--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -24,7 +24,7 @@
     budgeted::Budgeted,
     clock::Clock,
     dispatcher::Dispatcher,
-    handoff::{Keeper, Recomputed},
+    handoff::{OwnershipActor, Recomputed},
     keyed::Claimer,
     members::{Member, Members},
     meters::Meters,
@@ -64,7 +64,7 @@
     /// The actor that queues and places requests.
     pub dispatcher: Address<Dispatcher>,
     /// The actor that knows which requests the node owns.
-    pub keeper: Address<Keeper>,
+    pub ownership: Address<OwnershipActor>,
     /// The actor that finds the home nodes of idempotency keys.
     pub claimer: Address<Claimer>,
     /// The number of recomputed tokens by cause.
