--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -64,7 +64,7 @@
     cx: Arc<Context>,
     stop: watch::Sender<bool>,
     ports: JoinSet<()>,
-    duties: Vec<JoinHandle<()>>,
+    tasks: Vec<JoinHandle<()>>,
 }
 
 impl Node {
@@ -144,7 +144,7 @@
             };
             ports.spawn(serve(listener, handler, options, stopped.clone()));
         }
-        let duties = vec![
+        let tasks = vec![
             tokio::spawn(xtra::run(mailbox, OwnershipActor::new(Arc::clone(&cx)))),
             tokio::spawn(xtra::run(claimer_mailbox, Claimer::new(&cx))),
             tokio::spawn(handoff::run_timers(Arc::clone(&cx))),
@@ -168,7 +168,7 @@
         ];
         let name = &cx.settings.node.name;
         tracing::info!(event = Event::NodeStarted.number(), node = %name, %incarnation);
-        Ok(Node { cx, stop, ports, duties })
+        Ok(Node { cx, stop, ports, tasks })
     }
 
     /// Returns the state that the parts of the node share.
@@ -200,19 +200,19 @@
         handoff::end_open_answers(&self.cx);
         self.stop.send_replace(true);
         while self.ports.join_next().await.is_some() {}
-        self.end_duties();
+        self.abort_tasks();
         tracing::info!(event = Event::NodeStopped.number());
     }
 
     /// Aborts everything at once, as a crash of the process would.
     pub fn kill(mut self) {
         self.ports.abort_all();
-        self.end_duties();
+        self.abort_tasks();
     }
 
-    fn end_duties(&mut self) {
-        for duty in &self.duties {
-            duty.abort();
+    fn abort_tasks(&mut self) {
+        for task in &self.tasks {
+            task.abort();
         }
     }
 }
