--- a/crates/bench/src/spread/member.rs
+++ b/crates/bench/src/spread/member.rs
@@ -6,7 +6,7 @@
 use bulrushhall_core::{Incarnation, NodeName, Revision, Stamp, VmName, ZoneName};
 use bulrushhall_daemon::{
     members::Member,
-    peers::{Envelope, Sender, Spread},
+    peers::{Envelope, GossipMessage, Sender},
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -42,8 +42,13 @@
 
 /// Returns the bytes of a message on the wire.
 pub fn message_bytes(from: &Sender, to: Incarnation, gossip: &Gossip<Member>) -> u64 {
-    let body = Spread { gossip: gossip.clone() };
+<<<<<<< HEAD
+    let body = GossipMessage { gossip: gossip.clone() };
     REQUEST_HEAD_BYTES + encoded_len(&Envelope { from: from.clone(), to: Some(to), body })
+=======
+    let body = GossipMessage { gossip: gossip.clone() };
+    REQUEST_HEAD + encoded(&Envelope { from: from.clone(), to: Some(to), body })
+>>>>>>> part-drest
 }
 
 /// Returns the bytes of a reply on the wire.
--- a/crates/daemon/src/callers/observe.rs
+++ b/crates/daemon/src/callers/observe.rs
@@ -25,7 +25,7 @@
     },
     context::Context,
     meters::Metric,
-    telemetry::hop,
+    telemetry::with_remote_parent,
 };
 
 /// The label value of a request without a known team or class.
@@ -75,7 +75,7 @@
             team = self.team(),
             class = self.class(),
         );
-        hop(span, &parts.headers)
+        with_remote_parent(span, &parts.headers)
     }
 
     /// Attaches the observation to the response; it ends when the body has been sent or dropped.
--- a/crates/daemon/src/callers/relay.rs
+++ b/crates/daemon/src/callers/relay.rs
@@ -26,7 +26,7 @@
     dispatcher::{Finished, FirstToken, Start},
     handoff::{Cause, Portable, Produced},
     meters::Metric,
-    telemetry::resume,
+    telemetry::with_parent,
 };
 
 /// The pause before the next attempt when no engine takes work or an attempt has just failed.
@@ -53,7 +53,7 @@
 pub async fn run_traced(cx: Arc<Context>, run: Run, queued: Option<QueuedRequest>) {
     let (node, cause) = (&cx.settings.node.name, run.cause.as_str());
     let span = tracing::info_span!("run", %node, request = %run.answer.id(), cause);
-    let span = resume(span, run.portable.trace_parent.as_deref());
+    let span = with_parent(span, run.portable.trace_parent.as_deref());
     self::run(cx, run, queued).instrument(span).await;
 }
 
@@ -81,10 +81,10 @@
             tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
-        let start = queued_request.start.await.unwrap_or(Start::Nowhere);
+        let start = queued_request.start.await.unwrap_or(Start::NoWorker);
         let worker = match start {
             Start::On(key) => Some(key),
-            Start::Nowhere => None,
+            Start::NoWorker => None,
             Start::Expired => {
                 settle::fail(&cx, &answer, deadline_error(&answer)).await;
                 return;
