--- a/crates/bench/src/check/answers.rs
+++ b/crates/bench/src/check/answers.rs
@@ -1,4 +1,5 @@
-//! Promises about answers: accepted requests end, whole and with their own text.
+//! Guarantees about answers: an accepted request ends, and its answer is complete and belongs to
+//! its prompt.
 
 use bulrushhall_standin::engine::expected_answer;
 
@@ -7,11 +8,11 @@
     load::{Kind, Outcome, Record},
 };
 
-/// The code of an accepted request whose deadline passed, which is an end of its own.
+/// The error code of an accepted request whose deadline passed, which counts as a valid end.
 const DEADLINE: &str = "deadline_passed";
 
-/// Checks that each accepted request reached its end.
-pub fn accepted_survives(records: &[Record]) -> Vec<Violation> {
+/// Checks that each accepted request finished or exceeded its deadline.
+pub fn accepted_requests_end(records: &[Record]) -> Vec<Violation> {
     let mut violations = Vec::new();
     for record in records.iter().filter(|record| record.accepted) {
         let expired = record.code.as_deref() == Some(DEADLINE);
@@ -24,10 +25,10 @@
     violations
 }
 
-/// Checks that each finished answer of a model is whole and the one to its prompt.
+/// Checks that each finished answer of a model is complete and the one to its prompt.
 ///
-/// An answer that has not ended must at least be a beginning of the right one.
-pub fn whole_and_own(records: &[Record]) -> Vec<Violation> {
+/// The text of an unfinished answer must be a prefix of the expected one.
+pub fn complete_and_matching(records: &[Record]) -> Vec<Violation> {
     let mut violations = Vec::new();
     for record in records.iter().filter(|record| is_model(record)) {
         if 0 < record.skipped || 0 < record.duplicated {
@@ -36,7 +37,7 @@
         }
         let expected = expected_answer(&format!("user: {}\n", record.prompt), record.max_tokens);
         if !expected.starts_with(&record.text) {
-            let seen = format!("read {:?}", head(&record.text));
+            let seen = format!("read {:?}", excerpt(&record.text));
             violations.push(Violation::new(Broken::NotOwn, subject(record), seen));
             continue;
         }
@@ -48,7 +49,7 @@
     violations
 }
 
-/// Checks that no stream was cut in a run whose only disturbances were planned stops.
+/// Checks that no stream was interrupted in a run whose only faults were planned stops.
 pub fn planned_stop_cuts_nothing(records: &[Record]) -> Vec<Violation> {
     let mut violations = Vec::new();
     for record in records.iter().filter(|record| record.accepted) {
@@ -62,7 +63,7 @@
     violations
 }
 
-/// Returns the words that name a record's request.
+/// Returns the text that identifies a record's request.
 pub fn subject(record: &Record) -> String {
     let id = record.request.as_deref().or(record.key.as_deref()).unwrap_or("without id");
     format!("{:?} {} {id}", record.kind, record.number)
@@ -72,6 +73,6 @@
     matches!(record.kind, Kind::Chat | Kind::Patient)
 }
 
-fn head(text: &str) -> String {
+fn excerpt(text: &str) -> String {
     text.chars().take(40).collect()
 }
--- a/crates/bench/src/check/config.rs
+++ b/crates/bench/src/check/config.rs
@@ -1,4 +1,4 @@
-//! The promise that a configuration is in force everywhere in time and never goes back.
+//! The guarantee that a configuration is in force on all nodes in time and is never reverted.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,18 +6,19 @@
 
 use crate::check::{Broken, Violation};
 
-/// An `Observation` is the revision that a node had in force at one time.
+/// An `Observation` is the configuration revision that a node had in force at one time.
 #[derive(Clone, Debug)]
 pub struct Observation {
     /// The node.
     pub node: NodeName,
-    /// When it was seen, from the start of the run.
+    /// When it was observed, from the start of the run.
     pub at: Duration,
     /// The revision.
     pub revision: Revision,
 }
 
-/// Checks observations against the times at which revisions were accepted.
+/// Checks that each node has an accepted revision in force within `bound`, and that no node goes
+/// back to an earlier revision.
 pub fn spreads_and_never_reverts(
     observations: &[Observation],
     accepted: &[(Revision, Duration)],
@@ -25,9 +26,9 @@
 ) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut highest: BTreeMap<&NodeName, Revision> = BTreeMap::new();
-    let mut in_time: Vec<&Observation> = observations.iter().collect();
-    in_time.sort_by_key(|observation| observation.at);
-    for observation in in_time {
+    let mut ordered: Vec<&Observation> = observations.iter().collect();
+    ordered.sort_by_key(|observation| observation.at);
+    for observation in ordered {
         let Observation { node, at, revision } = observation;
         let before = highest.entry(node).or_default();
         if *revision < *before {
--- a/crates/bench/src/check/leaving.rs
+++ b/crates/bench/src/check/leaving.rs
@@ -1,4 +1,4 @@
-//! The promise that a VM which is leaving gets no new work after a few seconds.
+//! The guarantee that a VM that is leaving receives no new work after a grace period.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 
 use crate::check::{Broken, Violation};
 
-/// A `WorkSample` is how much work a VM had been given at one time.
+/// A `WorkSample` is the number of requests that a VM had received at one time.
 #[derive(Clone, Debug)]
 pub struct WorkSample {
     /// The VM.
     pub vm: VmName,
-    /// When the sample was taken, from the announcement that the VM is leaving.
+    /// When the sample was taken, from the reclaim notice of the VM.
     pub after_notice: Duration,
-    /// The requests that it had been given until then.
+    /// The requests that it had received until then.
     pub given: u64,
 }
 
-/// Checks that no VM was given work later than `grace` after its notice.
+/// Checks that no VM received new work later than `grace` after its notice.
 pub fn no_new_work(samples: &[WorkSample], grace: Duration) -> Vec<Violation> {
     let mut violations = Vec::new();
     for later in samples {
--- a/crates/bench/src/check/orders.rs
+++ b/crates/bench/src/check/orders.rs
@@ -1,4 +1,4 @@
-//! Promises about calls that may run at most once.
+//! Guarantees about calls that may run at most once.
 
 use bulrushhall_core::Ran;
 use bulrushhall_standin::service::ServiceCounts;
@@ -8,7 +8,7 @@
     load::{Outcome, Record},
 };
 
-/// Checks that no key ran twice and that a key whose caller was told so did run.
+/// Checks that no idempotency key ran twice, and that a call that was reported as run did run.
 pub fn at_most_once(records: &[Record], counts: &ServiceCounts) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (key, runs) in &counts.runs {
@@ -18,23 +18,23 @@
     }
     for record in records {
         let Some(key) = &record.key else { continue };
-        let told = record.outcome == Outcome::Finished || record.ran == Ran::Yes;
-        if told && !counts.runs.contains_key(key) {
+        let reported_run = record.outcome == Outcome::Finished || record.ran == Ran::Yes;
+        if reported_run && !counts.runs.contains_key(key) {
             violations.push(Violation::new(Broken::NeverRan, key, "answered as run"));
         }
     }
     violations
 }
 
-/// Checks that calls whose callers were told that they did not run truly did not.
+/// Checks that calls that were refused and reported as not run did not run.
 ///
-/// This is to be asked only once nothing can run any more.
-pub fn not_run_was_not_run(records: &[Record], counts: &ServiceCounts) -> Vec<Violation> {
+/// Must be called only after all calls have ended: a call that runs later would be missed.
+pub fn refused_calls_did_not_run(records: &[Record], counts: &ServiceCounts) -> Vec<Violation> {
     let mut violations = Vec::new();
     for record in records {
         let Some(key) = &record.key else { continue };
-        let told = record.outcome == Outcome::Refused && record.ran == Ran::No;
-        if !told {
+        let reported_not_run = record.outcome == Outcome::Refused && record.ran == Ran::No;
+        if !reported_not_run {
             continue;
         }
         let Some(runs) = counts.runs.get(key) else { continue };
--- a/crates/bench/src/check/violation.rs
+++ b/crates/bench/src/check/violation.rs
@@ -1,48 +1,48 @@
-//! A promise that was not kept.
+//! Violations of the system's guarantees.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// A `Broken` names the promise that was not kept.
+/// A `Broken` is the guarantee that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Broken {
-    /// An accepted request did not reach its end.
+    /// An accepted request did not end.
     AcceptedLost,
-    /// An answer has events twice or lacks some.
+    /// An answer has duplicate or missing events.
     NotWhole,
-    /// An answer is not the one to its prompt.
+    /// An answer does not belong to its prompt.
     NotOwn,
-    /// A request ran although its caller was told that it did not.
+    /// A call ran although it was reported as not run.
     RanThoughRefused,
     /// A call ran more than once.
     RanTwice,
-    /// A call did not run although its caller was told that it did.
+    /// A call did not run although it was reported as run.
     NeverRan,
-    /// A VM got new work although it was leaving.
+    /// A VM that was leaving received new work.
     WorkWhileLeaving,
-    /// A planned stop cut off a request.
+    /// A planned stop interrupted a request.
     CutByStop,
     /// A configuration was not in force everywhere in time.
     ConfigLate,
-    /// A node went back to an earlier configuration.
+    /// A node reverted to an earlier configuration.
     ConfigReverted,
 }
 
-/// A `Violation` is one case of a broken promise.
+/// A `Violation` is one case in which a guarantee was violated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The promise.
+    /// The guarantee.
     pub broken: Broken,
-    /// What it was about: a request's number and id, a key, a VM or a node.
+    /// What it concerns: a request's number and id, an idempotency key, a VM or a node.
     pub subject: String,
-    /// What was seen.
+    /// What was observed.
     pub seen: String,
 }
 
 impl Violation {
-    /// Returns a case of a broken promise.
+    /// Returns a violation of the guarantee `broken`.
     pub fn new(broken: Broken, subject: impl Into<String>, seen: impl Into<String>) -> Violation {
         Violation { broken, subject: subject.into(), seen: seen.into() }
     }
--- a/crates/bench/src/load/mix.rs
+++ b/crates/bench/src/load/mix.rs
@@ -1,4 +1,4 @@
-//! The mixes of both deployments, and the arrivals that a plan yields.
+//! The request mixes of both deployments, and the arrivals that a plan generates.
 
 use std::{error, fmt, str::FromStr, time::Duration};
 
@@ -8,19 +8,19 @@
 
 use crate::load::{Kind, Phase, Plan};
 
-/// The sessions that are open at once for each caller.
+/// The number of concurrent sessions of each caller.
 const SESSIONS: usize = 3;
-/// The turns after which a session is replaced by a new one.
+/// The number of turns after which a session is replaced by a new one.
 const TURNS: usize = 6;
-/// The different prefixes that sessions share.
+/// The number of distinct prefixes that sessions share.
 const PREFIXES: u64 = 4;
-/// The words of prompts.
+/// The vocabulary of prompts.
 const WORDS: [&str; 16] = [
     "border", "cobalt", "edge", "field", "floral", "glaze", "hall", "kiln", "letter", "member",
     "nave", "ochre", "panel", "reader", "shop", "thread",
 ];
 
-/// A `Mix` is the shape of one deployment's requests.
+/// A `Mix` is the distribution of one deployment's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mix {
@@ -31,7 +31,7 @@
     Newsroom,
 }
 
-/// A `MixError` is returned for a name that no mix has.
+/// A `MixError` is returned for an unknown name of a mix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MixError {
     name: String,
@@ -44,15 +44,15 @@
     pub number: usize,
     /// When it arrives, from the start of the run.
     pub at: Duration,
-    /// Whether it counts in the figures.
+    /// Whether it is included in the results.
     pub phase: Phase,
-    /// What it asks for.
+    /// The kind of request.
     pub kind: Kind,
     /// The caller that sends it.
     pub caller: usize,
     /// The prompt, or the path of a call to a plain service.
     pub text: String,
-    /// The most tokens of the answer.
+    /// The maximum number of tokens of the answer.
     pub max_tokens: u32,
 }
 
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy)]
 struct Shape {
     kind: Kind,
-    /// The share in a hundred.
+    /// The share in percent.
     share: u32,
     prefix_words: usize,
     turn_words: usize,
@@ -74,7 +74,7 @@
 }
 
 impl Mix {
-    /// Returns the name, as it is written on the command line.
+    /// Returns the name used on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Mix::Guild => "guild",
@@ -126,7 +126,7 @@
     }
 }
 
-/// Returns the arrivals of a plan in the order of time, with exponential gaps between them.
+/// Returns the arrivals of a plan ordered by time, with exponentially distributed gaps.
 pub fn arrivals(plan: &Plan) -> Vec<Arrival> {
     let mut random = Pcg64Mcg::seed_from_u64(plan.seed);
     let shapes = plan.mix.shapes();
@@ -167,17 +167,17 @@
     shapes[0]
 }
 
-// A session's prompt begins with one of a few shared prefixes and grows by a turn each time, so
-// an engine that has seen the session or the prefix finds most of the prompt in its cache.
-fn next_turn(talk: &mut Conversation, shape: Shape, random: &mut Pcg64Mcg) -> String {
-    if talk.turns == 0 || TURNS <= talk.turns {
+// A session's prompt starts with one of a few shared prefixes and grows by one turn per request,
+// so an engine that has served the session or the prefix finds most of the prompt in its cache.
+fn next_turn(conversation: &mut Conversation, shape: Shape, random: &mut Pcg64Mcg) -> String {
+    if conversation.turns == 0 || TURNS <= conversation.turns {
         let prefix = random.random_range(0..PREFIXES);
         let mut fixed = Pcg64Mcg::seed_from_u64(prefix);
-        *talk = Conversation { text: words(shape.prefix_words, &mut fixed), turns: 0 };
+        *conversation = Conversation { text: words(shape.prefix_words, &mut fixed), turns: 0 };
     }
-    talk.turns += 1;
-    talk.text.push_str(&words(shape.turn_words, random));
-    talk.text.clone()
+    conversation.turns += 1;
+    conversation.text.push_str(&words(shape.turn_words, random));
+    conversation.text.clone()
 }
 
 fn words(count: usize, random: &mut Pcg64Mcg) -> String {
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -1,19 +1,19 @@
-//! Open-loop load: planned arrivals, callers that behave like real ones, and what they saw.
+//! Open-loop load: planned arrivals, simulated callers and records of what they observed.
 
-mod addresses;
-mod follow;
+mod entry_cache;
 mod mix;
-mod person;
 mod plan;
 mod record;
 mod report;
 mod runner;
+mod simulated_caller;
+mod stream_reader;
 
-pub use addresses::Addresses;
-pub use follow::{Followed, Following};
+pub use entry_cache::EntryCache;
 pub use mix::{Arrival, Mix, arrivals};
-pub use person::Person;
 pub use plan::{Plan, PlanError};
 pub use record::{Kind, Outcome, Phase, Record};
 pub use report::{Latency, Report, Summary};
 pub use runner::{Session, run};
+pub use simulated_caller::SimulatedCaller;
+pub use stream_reader::{StreamEnd, StreamReader};
--- a/crates/bench/src/load/plan.rs
+++ b/crates/bench/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! What a load run sends, how fast and for how long.
+//! The plan of a load run: what is sent, how fast and for how long.
 
 use std::{error, fmt, net::SocketAddr, time::Duration};
 
@@ -7,31 +7,31 @@
     testbed::{LEDGER, MODEL},
 };
 
-/// The longest run that is allowed.
-const LONGEST: Duration = Duration::from_secs(3_600);
-/// The most requests of one run.
-const MOST_REQUESTS: usize = 500_000;
+/// The maximum length of a run.
+const MAX_LENGTH: Duration = Duration::from_secs(3_600);
+/// The maximum number of requests of one run.
+const MAX_REQUESTS: usize = 500_000;
 
-/// A `Plan` describes one load run; the same plan always yields the same arrivals.
+/// A `Plan` describes one load run; the same plan always generates the same arrivals.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The kinds of request and their shares.
     pub mix: Mix,
-    /// The arrivals in a second; they don't wait for answers.
+    /// The arrivals per second; they don't wait for answers.
     pub rate: f64,
     /// How long requests arrive, warm-up included.
     pub length: Duration,
-    /// The part at the start that is left out of the figures.
+    /// The time at the start that is excluded from the results.
     pub warm_up: Duration,
-    /// The most requests that are sent.
+    /// The maximum number of requests that are sent.
     pub requests: usize,
-    /// The seed of arrivals and texts.
+    /// The seed of the random arrivals and texts.
     pub seed: u64,
-    /// The callers; each keeps its own list of entries and its own connections.
+    /// The number of callers; each has its own list of entries and its own connections.
     pub callers: usize,
     /// The teams that callers belong to.
     pub teams: Vec<String>,
-    /// The model that is asked.
+    /// The model that is requested.
     pub model: String,
     /// The plain service that is called.
     pub service: String,
@@ -39,24 +39,24 @@
     pub urgent: String,
     /// The class of requests that can wait.
     pub patient: String,
-    /// How long a caller waits on a connection that brings nothing before it tries another.
+    /// How long a caller waits on a silent connection before it tries another entry.
     pub silence: Duration,
-    /// How long after its arrival a caller gives a request up.
+    /// How long after a request's arrival its caller abandons it.
     pub patience: Duration,
-    /// How often a caller comes back after a refusal.
+    /// The maximum number of retries after refusals.
     pub retries: u32,
 }
 
-/// A `PlanError` tells why a plan is not run.
+/// A `PlanError` is the reason why a plan is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanError {
-    /// The address is not of this machine.
+    /// The address is not a loopback address.
     NotLoopback(SocketAddr),
     /// No entry address was given.
     NoEntries,
-    /// The plan would send more requests, or for longer, than is allowed.
+    /// The plan exceeds the maximum length or number of requests.
     TooLarge,
-    /// A number is not above zero.
+    /// The named value is not above zero.
     NotPositive(&'static str),
 }
 
@@ -67,7 +67,7 @@
             rate: 20.0,
             length: Duration::from_secs(10),
             warm_up: Duration::from_secs(2),
-            requests: MOST_REQUESTS,
+            requests: MAX_REQUESTS,
             seed: 1,
             callers: 16,
             teams: vec!["workshop".to_owned(), "archive".to_owned()],
@@ -83,7 +83,7 @@
 }
 
 impl Plan {
-    /// Checks that the plan is bounded and sends to this machine only.
+    /// Checks that the plan is within its bounds and sends to loopback addresses only.
     pub fn check(&self, entries: &[SocketAddr]) -> Result<(), PlanError> {
         if entries.is_empty() {
             return Err(PlanError::NoEntries);
@@ -101,7 +101,7 @@
             return Err(PlanError::NotPositive("teams"));
         }
         let expected = self.rate * self.length.as_secs_f64();
-        if LONGEST < self.length || MOST_REQUESTS < self.requests.min(expected as usize) {
+        if MAX_LENGTH < self.length || MAX_REQUESTS < self.requests.min(expected as usize) {
             return Err(PlanError::TooLarge);
         }
         Ok(())
@@ -112,13 +112,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PlanError::NotLoopback(address) => {
-                write!(f, "{address} is not a loopback address; load is sent to this machine only")
+                write!(
+                    f,
+                    "{address} is not a loopback address; load is sent to loopback addresses only"
+                )
             }
             PlanError::NoEntries => f.write_str("no entry address was given"),
             PlanError::TooLarge => write!(
                 f,
-                "a run may send {MOST_REQUESTS} requests in {} s at most",
-                LONGEST.as_secs()
+                "a run is limited to {MAX_REQUESTS} requests and {} s",
+                MAX_LENGTH.as_secs()
             ),
             PlanError::NotPositive(what) => write!(f, "{what} must be above zero"),
         }
--- a/crates/bench/src/load/report.rs
+++ b/crates/bench/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The figures of a run, by kind and class.
+//! The results of a run by kind of request.
 
 use std::{collections::BTreeMap, fmt, time::Duration};
 
@@ -7,75 +7,75 @@
 
 use crate::load::{Kind, Mix, Outcome, Phase, Plan, Record};
 
-/// The highest latency that histograms tell apart, in microseconds.
-const HIGHEST_MICROS: u64 = 600_000_000;
+/// The maximum latency that histograms record, in microseconds; higher ones are clamped to it.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
-/// A `Report` is what a run yielded.
+/// A `Report` is the result of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
     /// The mix.
     pub mix: Mix,
-    /// The arrivals in a second.
+    /// The arrivals per second.
     pub rate: f64,
     /// The seed.
     pub seed: u64,
     /// The seconds until the last answer had ended.
     pub seconds: f64,
-    /// The figures by kind, warm-up left out.
+    /// The results by kind, without the warm-up.
     pub summaries: BTreeMap<Kind, Summary>,
-    /// What callers saw, warm-up included; left out of the written report.
+    /// The records of all callers, warm-up included; omitted from the written report.
     #[serde(skip)]
     pub records: Vec<Record>,
 }
 
-/// A `Summary` gives the figures of one kind of request.
+/// A `Summary` is the results of one kind of request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The requests that were sent.
     pub sent: u64,
     /// Those that were accepted.
     pub accepted: u64,
-    /// Those whose end was seen.
+    /// Those whose whole answer was received.
     pub finished: u64,
-    /// Those that were refused in the end.
+    /// Those that were refused after all retries.
     pub refused: u64,
     /// Those that were accepted and failed.
     pub failed: u64,
-    /// Those that were given up without an end.
+    /// Those that were abandoned before they ended.
     pub cut: u64,
-    /// Events that came twice.
+    /// Duplicate events.
     pub duplicated: u64,
-    /// Streams that were taken up again.
+    /// Reconnects to interrupted streams.
     pub reconnects: u64,
-    /// Requests that were sent anew.
+    /// Retries of requests.
     pub retries: u64,
-    /// Tokens that were read.
+    /// Tokens that were received.
     pub tokens: u64,
-    /// The time to the first token, from the planned sending on.
+    /// The time from the planned send time to the first token.
     pub first_token: Latency,
     /// The time between tokens.
     pub gap: Latency,
-    /// The time to the end, from the planned sending on.
+    /// The time from the planned send time to the end.
     pub total: Latency,
 }
 
-/// A `Latency` gives percentiles, in microseconds.
+/// A `Latency` is the percentiles of a set of latencies, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Latency {
     /// The number of values.
     pub count: u64,
     /// The median.
     pub p50: u64,
-    /// What 95 in 100 stay below.
+    /// The 95th percentile.
     pub p95: u64,
-    /// What 99 in 100 stay below.
+    /// The 99th percentile.
     pub p99: u64,
-    /// The highest.
+    /// The maximum.
     pub max: u64,
 }
 
 impl Report {
-    /// Returns the report of records.
+    /// Returns the report of a run of the given length.
     pub fn new(plan: &Plan, length: Duration, records: Vec<Record>) -> Report {
         let mut by_kind: BTreeMap<Kind, Vec<&Record>> = BTreeMap::new();
         for record in records.iter().filter(|record| record.phase == Phase::Measured) {
@@ -129,9 +129,9 @@
 }
 
 impl Latency {
-    /// Returns the percentiles of some times.
+    /// Returns the percentiles of `times`.
     pub fn of(times: impl Iterator<Item = Duration>) -> Latency {
-        let Ok(mut histogram) = Histogram::<u64>::new_with_max(HIGHEST_MICROS, 3) else {
+        let Ok(mut histogram) = Histogram::<u64>::new_with_max(MAX_LATENCY_MICROS, 3) else {
             return Latency::default();
         };
         for time in times {
@@ -151,8 +151,8 @@
     }
 }
 
-// Latency counts from the planned sending: an answer that is late because the sender itself was
-// held up by an earlier slow one counts as late, which is the correction for coordinated omission.
+// Latencies are relative to the planned send time, which corrects for coordinated omission: an
+// answer that is late because a slow earlier one delayed the sender counts as late.
 fn summarize(records: &[&Record]) -> Summary {
     let count = |outcome| records.iter().filter(|record| record.outcome == outcome).count() as u64;
     let sum =
--- a/crates/bench/src/load/person.rs
+++ b/crates/bench/src/load/simulated_caller.rs
@@ -1,4 +1,4 @@
-//! A caller that plays planned requests to their end, as a real one would.
+//! A simulated caller that sends planned requests, retries them and reads their answers.
 
 use std::{
     net::SocketAddr,
@@ -13,88 +13,88 @@
 
 use crate::{
     CallerError,
-    load::{Addresses, Arrival, Followed, Following, Kind, Outcome, Plan, Record},
+    load::{Arrival, EntryCache, Kind, Outcome, Plan, Record, StreamEnd, StreamReader},
 };
 
 /// The header that carries the id of an accepted request.
 const REQUEST_HEADER: &str = "x-request-id";
-/// The header in which a reader names the last event that it saw.
+/// The header that carries the id of the last event that the caller received.
 const LAST_EVENT_HEADER: &str = "last-event-id";
-/// The header in which a caller gives back the ticket of the entry it first sent a call to.
+/// The header that carries the ticket of the entry that a call was first sent to.
 const TICKET_HEADER: &str = "x-ticket";
-/// The pause before the next entry is tried.
-const NEXT_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause that a refusal may ask of a caller.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
-/// The code of a call whose first sending still runs.
+/// The delay before the next entry is tried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The upper bound of the delay that a refusal may request with `Retry-After`.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
+/// The error code of a call whose first attempt is still running.
 const IN_PROGRESS: &str = "key_in_progress";
 
-/// A `Person` is one caller with its team, its list of entries and its connections.
-pub struct Person {
+/// A `SimulatedCaller` is one caller with its team, its list of entries and its connections.
+pub struct SimulatedCaller {
     team: String,
-    addresses: Addresses,
+    entries: EntryCache,
     plan: Arc<Plan>,
     started: Instant,
 }
 
 /// A `Step` is what a caller does after an attempt.
 enum Step {
-    /// Send it again, to this many entries further on, after a pause.
+    /// Retry after a delay, this many entries skip down the list.
     Again(usize, Duration),
-    /// Go on at this entry.
+    /// Continue at the entry with this address.
     At(SocketAddr),
-    /// Nothing more.
+    /// The request has ended.
     End(Outcome),
 }
 
-impl Person {
-    /// Returns a caller of `team`; times are taken from `started` on.
+impl SimulatedCaller {
+    /// Returns a caller of `team`; recorded times are relative to `started`.
     pub fn new(
         team: impl Into<String>,
-        addresses: Addresses,
+        entries: EntryCache,
         plan: Arc<Plan>,
         started: Instant,
-    ) -> Person {
-        Person { team: team.into(), addresses, plan, started }
+    ) -> SimulatedCaller {
+        SimulatedCaller { team: team.into(), entries, plan, started }
     }
 
-    /// Plays one request to its end and tells what was seen of it.
-    pub async fn play(&self, arrival: Arrival) -> Record {
+    /// Performs one request with its retries and returns what the caller observed.
+    pub async fn perform(&self, arrival: Arrival) -> Record {
         let mut record = self.blank(arrival);
         match record.kind {
-            Kind::Chat | Kind::Patient => self.ask(&mut record).await,
-            Kind::Order | Kind::Lookup => self.call(&mut record).await,
+            Kind::Chat | Kind::Patient => self.request_model(&mut record).await,
+            Kind::Order | Kind::Lookup => self.call_service(&mut record).await,
         }
         record.ended = self.started.elapsed();
         record
     }
 
-    async fn ask(&self, record: &mut Record) {
-        let mut following = Following::default();
-        let (mut turn, mut told) = (0, None);
-        while !self.is_late(record) {
-            let entries = self.addresses.current().await;
-            let address = told.take().unwrap_or(entries[turn % entries.len()]);
-            let caller = self.addresses.caller(address);
+    async fn request_model(&self, record: &mut Record) {
+        let mut reader = StreamReader::default();
+        let (mut offset, mut redirect) = (0, None);
+        while !self.is_abandoned(record) {
+            let entries = self.entries.current().await;
+            let address = redirect.take().unwrap_or(entries[offset % entries.len()]);
+            let caller = self.entries.caller(address);
             let sent = match &record.request {
                 None => self.submit(&caller, record).await,
                 Some(request) => {
                     let path = format!("/v1/requests/{request}/stream");
-                    let last = following.last_event.as_deref();
+                    let last = reader.last_event.as_deref();
                     let last = last.map(|last| (LAST_EVENT_HEADER, last));
                     caller.open(Method::GET, &path, last.as_slice(), &Value::Null).await
                 }
             };
             let step = match sent {
-                Ok(answer) => self.read(record, &mut following, answer).await,
-                Err(error) => self.weigh(record, error),
+                Ok(answer) => self.read(record, &mut reader, answer).await,
+                Err(error) => self.next_step(record, error),
             };
             match step {
-                Step::Again(further, pause) => {
-                    turn += further;
-                    sleep(pause).await;
+                Step::Again(skip, delay) => {
+                    offset += skip;
+                    sleep(delay).await;
                 }
-                Step::At(address) => told = Some(address),
+                Step::At(address) => redirect = Some(address),
                 Step::End(outcome) => {
                     record.outcome = outcome;
                     break;
@@ -102,11 +102,11 @@
             }
         }
         let planned = self.started + record.planned;
-        record.first_token = following.first.map(|first| first.saturating_duration_since(planned));
-        record.gaps = following.gaps;
-        record.text = following.text;
-        record.duplicated = following.duplicated;
-        record.skipped = following.skipped;
+        record.first_token = reader.first.map(|first| first.saturating_duration_since(planned));
+        record.gaps = reader.gaps;
+        record.text = reader.text;
+        record.duplicated = reader.duplicated;
+        record.skipped = reader.skipped;
     }
 
     async fn submit(
@@ -129,7 +129,7 @@
     async fn read(
         &self,
         record: &mut Record,
-        following: &mut Following,
+        reader: &mut StreamReader,
         answer: Response<Incoming>,
     ) -> Step {
         let is_new = record.request.is_none();
@@ -139,70 +139,70 @@
         if is_new && record.kind == Kind::Patient {
             return Step::Again(0, Duration::ZERO);
         }
-        match following.read(answer, self.plan.silence).await {
-            Followed::Whole => {
+        match reader.read(answer, self.plan.silence).await {
+            StreamEnd::Whole => {
                 record.ran = Ran::Yes;
                 Step::End(Outcome::Finished)
             }
-            Followed::Failed { code, ran } => {
+            StreamEnd::Failed { code, ran } => {
                 (record.code, record.ran) = (Some(code), ran);
                 Step::End(Outcome::Failed)
             }
-            Followed::Moved(address) => {
+            StreamEnd::Moved(address) => {
                 record.moves += 1;
-                self.addresses.forget();
+                self.entries.expire();
                 Step::At(address)
             }
-            Followed::Cut => {
+            StreamEnd::Cut => {
                 record.reconnects += 1;
-                self.addresses.forget();
-                Step::Again(1, NEXT_PAUSE)
+                self.entries.expire();
+                Step::Again(1, RETRY_DELAY)
             }
         }
     }
 
-    // A request that was accepted is followed until its caller's patience ends. One that was
-    // not, and one that can be repeated, is sent anew a few times.
-    fn weigh(&self, record: &mut Record, error: CallerError) -> Step {
-        let (code, ran, after) = match error {
+    // The caller reconnects to an accepted request until its time limit. A request that was not
+    // accepted is retried a limited number of times if it can be repeated.
+    fn next_step(&self, record: &mut Record, error: CallerError) -> Step {
+        let (code, ran, retry_after) = match error {
             CallerError::Refused { code, ran, retry_after, .. } => (Some(code), ran, retry_after),
             CallerError::Call(error) => (None, error.ran, None),
             CallerError::Malformed => (None, Ran::Unknown, None),
         };
         let refused = code.is_some();
         if record.accepted {
-            // The node that knew the request may be gone and its copy not yet taken over.
+            // The node that served the request may be dead and its copy not yet taken over.
             record.reconnects += 1;
-            self.addresses.forget();
+            self.entries.expire();
             if code.as_deref() == Some("cancelled") || code.as_deref() == Some("deadline_passed") {
                 (record.code, record.ran) = (code, ran);
                 return Step::End(Outcome::Failed);
             }
-            return Step::Again(1, NEXT_PAUSE);
+            return Step::Again(1, RETRY_DELAY);
         }
         let in_progress = code.as_deref() == Some(IN_PROGRESS);
         let may_repeat = ran == Ran::No || record.kind != Kind::Order || in_progress || !refused;
-        let passing = after.is_some() || in_progress || is_passing(code.as_deref());
+        let transient = retry_after.is_some() || in_progress || is_transient(code.as_deref());
         (record.code, record.ran) = (code, record.ran.combine(ran));
         record.refusals += u32::from(refused);
-        if !may_repeat || !passing || self.plan.retries <= record.retries {
+        if !may_repeat || !transient || self.plan.retries <= record.retries {
             return Step::End(if refused { Outcome::Refused } else { Outcome::Cut });
         }
         record.retries += 1;
-        self.addresses.forget();
-        let pause = after.map_or(NEXT_PAUSE, Duration::from_secs).min(LONGEST_PAUSE);
-        Step::Again(usize::from(!in_progress), pause)
+        self.entries.expire();
+        let delay = retry_after.map_or(RETRY_DELAY, Duration::from_secs).min(MAX_RETRY_DELAY);
+        Step::Again(usize::from(!in_progress), delay)
     }
 
-    async fn call(&self, record: &mut Record) {
+    async fn call_service(&self, record: &mut Record) {
         let service = &self.plan.service;
         let mut ticket = None;
-        let mut turn = 0;
-        while !self.is_late(record) {
-            let entries = self.addresses.current().await;
-            let address = entries[turn % entries.len()];
-            let caller = self.addresses.caller(address);
-            ticket = ticket.or_else(|| self.addresses.ticket(address));
+        let mut offset = 0;
+        while !self.is_abandoned(record) {
+            let entries = self.entries.current().await;
+            let address = entries[offset % entries.len()];
+            let caller = self.entries.caller(address);
+            ticket = ticket.or_else(|| self.entries.ticket(address));
             let sent = match &record.key {
                 Some(key) => {
                     let path = format!("/v1/services/{service}/orders");
@@ -223,17 +223,17 @@
                     record.text = answer.to_string();
                     Step::End(Outcome::Finished)
                 }
-                Err(error) => self.weigh(record, error),
+                Err(error) => self.next_step(record, error),
             };
             match step {
-                Step::Again(further, pause) => {
-                    turn += further;
-                    // A call that was certainly not run may be sent under another ticket; one that
-                    // may have run must keep the ticket that it was first sent with.
+                Step::Again(skip, delay) => {
+                    offset += skip;
+                    // A call that certainly did not run may be sent with another ticket; one that
+                    // may have run must keep its first ticket.
                     if record.ran == Ran::No {
                         ticket = None;
                     }
-                    sleep(pause).await;
+                    sleep(delay).await;
                 }
                 Step::At(_) => {}
                 Step::End(outcome) => {
@@ -244,7 +244,7 @@
         }
     }
 
-    fn is_late(&self, record: &Record) -> bool {
+    fn is_abandoned(&self, record: &Record) -> bool {
         record.planned + self.plan.patience <= self.started.elapsed()
     }
 
@@ -284,8 +284,9 @@
     }
 }
 
-// Refusals for what the request says would come again; those for the state of the system pass.
-fn is_passing(code: Option<&str>) -> bool {
+// A refusal because of the state of the system is transient; one because of the request itself
+// would be repeated.
+fn is_transient(code: Option<&str>) -> bool {
     match code {
         None => true,
         Some(code) => {
--- a/crates/bench/src/load/follow.rs
+++ b/crates/bench/src/load/stream_reader.rs
@@ -1,4 +1,4 @@
-//! A caller's reading of a stream: event numbers are checked, times are taken.
+//! Reading of an answer's event stream: checks event numbers and records arrival times.
 
 use std::{
     net::SocketAddr,
@@ -14,31 +14,31 @@
 use serde_json::Value;
 use tokio::time::timeout;
 
-/// A `Following` is what was read of one answer so far, over all its connections.
+/// A `StreamReader` is what has been read of one answer so far, over all its connections.
 #[derive(Clone, Debug, Default)]
-pub struct Following {
+pub struct StreamReader {
     /// The text.
     pub text: String,
-    /// The number of the next event.
+    /// The expected number of the next event.
     pub next: u64,
     /// The id of the last event.
     pub last_event: Option<String>,
-    /// When the first token came.
+    /// When the first token arrived.
     pub first: Option<Instant>,
-    /// When the last token came.
+    /// When the last token arrived.
     pub last: Option<Instant>,
     /// The times between tokens.
     pub gaps: Vec<Duration>,
-    /// The events that came a second time.
+    /// The number of duplicate events.
     pub duplicated: u32,
-    /// The events that were left out.
+    /// The number of missing events.
     pub skipped: u32,
 }
 
-/// A `Followed` tells how one connection of a stream ended.
+/// A `StreamEnd` is how one connection of a stream ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Followed {
-    /// The end of the answer was seen.
+pub enum StreamEnd {
+    /// The answer ended normally.
     Whole,
     /// The answer ended with an error.
     Failed {
@@ -47,9 +47,9 @@
         /// Whether the request may have run.
         ran: Ran,
     },
-    /// The answer goes on at another entry, as the node that is stopping says.
+    /// The node is stopping; the answer continues at the entry with this address.
     Moved(SocketAddr),
-    /// The connection ended, or went silent, before the end of the answer.
+    /// The connection was closed or silent for too long before the end of the answer.
     Cut,
 }
 
@@ -69,38 +69,39 @@
     ran: Ran,
 }
 
-impl Following {
-    /// Reads one connection's events to their end.
-    pub async fn read(&mut self, answer: Response<Incoming>, silence: Duration) -> Followed {
+impl StreamReader {
+    /// Reads the events of one connection until it ends.
+    pub async fn read(&mut self, answer: Response<Incoming>, silence: Duration) -> StreamEnd {
         let mut events = BodyDataStream::new(answer.into_body()).eventsource();
-        // A connection may go silent for good without being closed. A caller that waited on it
-        // would never see the rest of its answer, so it gives the connection up after a while.
+        // A connection may stay silent forever without being closed. A caller that waited on it
+        // would never receive the rest of its answer, so it abandons the connection after a
+        // timeout.
         while let Ok(Some(Ok(event))) = timeout(silence, events.next()).await {
             if event.data == "[DONE]" {
-                return Followed::Whole;
+                return StreamEnd::Whole;
             }
             if event.event == "moved" {
                 let moved = serde_json::from_str::<MovedEvent>(&event.data);
-                return moved.map_or(Followed::Cut, |moved| Followed::Moved(moved.address));
+                return moved.map_or(StreamEnd::Cut, |moved| StreamEnd::Moved(moved.address));
             }
             if event.event == "error" {
                 return match serde_json::from_str::<ErrorEvent>(&event.data) {
                     Ok(ErrorEvent { error }) => {
-                        Followed::Failed { code: error.code, ran: error.ran }
+                        StreamEnd::Failed { code: error.code, ran: error.ran }
                     }
-                    Err(_) => Followed::Cut,
+                    Err(_) => StreamEnd::Cut,
                 };
             }
             let Ok(value) = serde_json::from_str::<Value>(&event.data) else { continue };
             let Some(token) = value["choices"][0]["delta"]["content"].as_str() else { continue };
             if !token.is_empty() {
-                self.take(&event.id, token);
+                self.record_token(&event.id, token);
             }
         }
-        Followed::Cut
+        StreamEnd::Cut
     }
 
-    fn take(&mut self, id: &str, token: &str) {
+    fn record_token(&mut self, id: &str, token: &str) {
         let position: Option<StreamPosition> = id.parse().ok();
         let number = position.map_or(self.next, |position| position.number);
         if number < self.next {
--- a/crates/bench/tests/count_bounds.rs
+++ b/crates/bench/tests/count_bounds.rs
@@ -5,7 +5,7 @@
 use bulrushhall_bench::{
     Caller, Testbed, TestbedOptions,
     capacity::measure,
-    load::Addresses,
+    load::EntryCache,
     testbed::{LEDGER, MODEL},
 };
 use bulrushhall_daemon::config_chain;
@@ -93,7 +93,7 @@
 }
 
 async fn order(testbed: &Testbed, caller: &Caller) {
-    let entries = Addresses::new("workshop", testbed.entries(), Duration::from_secs(5));
+    let entries = EntryCache::new("workshop", testbed.entries(), Duration::from_secs(5));
     entries.current().await;
     let ticket = entries.ticket(testbed.nodes[0].callers()).expect("a ticket");
     for number in 0..ORDERS {
--- a/crates/bench/tests/planted_faults.rs
+++ b/crates/bench/tests/planted_faults.rs
@@ -4,8 +4,9 @@
 
 use bulrushhall_bench::{
     check::{
-        Broken, Observation, WorkSample, accepted_survives, at_most_once, judge, no_new_work,
-        not_run_was_not_run, planned_stop_cuts_nothing, spreads_and_never_reverts, whole_and_own,
+        Broken, Observation, WorkSample, accepted_requests_end, at_most_once,
+        complete_and_matching, judge, no_new_work, planned_stop_cuts_nothing,
+        refused_calls_did_not_run, spreads_and_never_reverts,
     },
     load::{Kind, Outcome, Phase, Record},
 };
@@ -65,7 +66,7 @@
 #[case(Outcome::Failed, Some("backend_failed"))]
 fn accepted_lost(#[case] outcome: Outcome, #[case] code: Option<&str>) {
     let lost = Record { outcome, code: code.map(str::to_owned), ..chat() };
-    assert_eq!(accepted_survives(&[lost])[0].broken, Broken::AcceptedLost);
+    assert_eq!(accepted_requests_end(&[lost])[0].broken, Broken::AcceptedLost);
 }
 
 #[rstest]
@@ -76,7 +77,7 @@
 #[case(Record { duplicated: 1, ..chat() }, Broken::NotWhole)]
 #[case(Record { skipped: 1, ..chat() }, Broken::NotWhole)]
 fn wrong_answer(#[case] record: Record, #[case] broken: Broken) {
-    assert_eq!(whole_and_own(&[record])[0].broken, broken);
+    assert_eq!(complete_and_matching(&[record])[0].broken, broken);
 }
 
 #[test]
@@ -89,10 +90,13 @@
 #[test]
 fn ran_though_refused() {
     let refused = [order(Outcome::Refused, Ran::No)];
-    assert_eq!(not_run_was_not_run(&refused, &ran_times(1))[0].broken, Broken::RanThoughRefused);
-    assert_eq!(not_run_was_not_run(&refused, &ran_times(0)), []);
+    assert_eq!(
+        refused_calls_did_not_run(&refused, &ran_times(1))[0].broken,
+        Broken::RanThoughRefused
+    );
+    assert_eq!(refused_calls_did_not_run(&refused, &ran_times(0)), []);
     let unknown = [order(Outcome::Refused, Ran::Unknown)];
-    assert_eq!(not_run_was_not_run(&unknown, &ran_times(1)), []);
+    assert_eq!(refused_calls_did_not_run(&unknown, &ran_times(1)), []);
 }
 
 #[rstest]
