--- a/crates/bench/src/capacity/measure/codec.rs
+++ b/crates/bench/src/capacity/measure/codec.rs
@@ -1,4 +1,4 @@
-//! What it costs to write and read a message between nodes.
+//! The size of messages between nodes and the cost of encoding and decoding them.
 
 use std::{
     hint::black_box,
@@ -19,9 +19,9 @@
     measure::{Measured, Named},
 };
 
-/// The bytes of text that messages carry.
+/// The payload sizes of messages, in bytes.
 const SIZES: [usize; 5] = [64, 512, 2_048, 8_192, 32_768];
-/// The numbers of streams whose new tokens share a message.
+/// The numbers of streams whose new tokens are sent in one message.
 const SHARED: [usize; 4] = [1, 4, 16, 64];
 /// How long each size is measured.
 const LENGTH: Duration = Duration::from_millis(200);
@@ -33,13 +33,13 @@
     tokens: Vec<String>,
 }
 
-/// Measures microseconds for one message, written and read once, against the bytes it carries.
+/// Measures the microseconds to encode and decode a message against the size of its payload.
 pub fn measure() -> Measured<Vec<Named>> {
     let from = sender()?;
     let mut costs = Vec::new();
     let mut overheads = Vec::new();
     for size in SIZES {
-        // Half of the bytes are one text, half are tokens of about eight bytes.
+        // Half of the payload is one text, the other half are tokens of eight bytes.
         let tokens = vec!["cobalt7 ".to_owned(); size / 16];
         let body = Carried { request: "r-1-1".to_owned(), text: "x".repeat(size / 2), tokens };
         let envelope = Envelope { from: from.clone(), to: None, body };
--- a/crates/bench/src/capacity/measure/control.rs
+++ b/crates/bench/src/capacity/measure/control.rs
@@ -1,4 +1,4 @@
-//! What nodes spend while nobody asks anything of them.
+//! The cost of idle nodes: processor time, memory and calls to the key-value service.
 
 use std::time::{Duration, Instant};
 
@@ -8,34 +8,34 @@
     TestbedOptions,
     capacity::{
         Point, Slope,
-        measure::{Measured, Named, bed::Bed},
+        measure::{Measured, Named, process_testbed::ProcessTestbed},
     },
 };
 
 /// The numbers of nodes.
 const NODES: [usize; 5] = [2, 4, 8, 16, 24];
-/// The time in which nodes get to know each other.
+/// How long to wait until the nodes know each other.
 const SETTLE: Duration = Duration::from_secs(3);
 /// The numbers of engines.
 const ENGINES: [usize; 4] = [4, 64, 128, 256];
-/// The most watchers that there are in the zones of a bed, two in each.
+/// The maximum number of watchers of a testbed: two in each of its four zones.
 const WATCHERS: usize = 8;
 /// How long idle nodes are measured.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Measures processor time and memory of an idle node, and calls to the key-value service by all
-/// nodes, against the number of nodes.
+/// Measures the processor time and memory of an idle node, and the calls of all nodes to the
+/// key-value service, against the number of nodes.
 pub async fn measure() -> Measured<Vec<Named>> {
     let (mut processor, mut memory) = (Vec::new(), Vec::new());
     let (mut reads, mut writes, mut watches) = (Vec::new(), Vec::new(), Vec::new());
     for nodes in NODES {
-        let bed = Bed::start(nodes, TestbedOptions::default()).await?;
+        let cluster = ProcessTestbed::start(nodes, TestbedOptions::default()).await?;
         sleep(SETTLE).await;
         let started = Instant::now();
-        let (calls, used) = (bed.testbed.kv.counts(), total(&bed).0);
+        let (calls, used) = (cluster.testbed.kv.counts(), total(&cluster).0);
         sleep(WINDOW).await;
         let seconds = started.elapsed().as_secs_f64();
-        let (after, (used_after, resident)) = (bed.testbed.kv.counts(), total(&bed));
+        let (after, (used_after, resident)) = (cluster.testbed.kv.counts(), total(&cluster));
         let count = nodes as f64;
         let rate = |before: u64, after: u64| Point {
             size: count,
@@ -59,23 +59,25 @@
     ])
 }
 
-/// Measures processor time of an idle node against the engines whose loads it follows.
+/// Measures the processor time of an idle node against the number of engines that it polls.
 pub async fn engines() -> Measured<Vec<Named>> {
     let mut points = Vec::new();
     for engines in ENGINES {
-        let bed = Bed::start(1, TestbedOptions { engines, ..TestbedOptions::default() }).await?;
+        let cluster =
+            ProcessTestbed::start(1, TestbedOptions { engines, ..TestbedOptions::default() })
+                .await?;
         sleep(SETTLE).await;
-        let (started, used) = (Instant::now(), total(&bed).0);
+        let (started, used) = (Instant::now(), total(&cluster).0);
         sleep(WINDOW).await;
-        let spent = (total(&bed).0 - used) * 1e6 / started.elapsed().as_secs_f64();
+        let spent = (total(&cluster).0 - used) * 1e6 / started.elapsed().as_secs_f64();
         points.push(Point { size: engines as f64, value: spent });
     }
     Ok(vec![("follow_processor", Slope::through("µs of processor a second", "engines", points))])
 }
 
-fn total(bed: &Bed) -> (f64, f64) {
+fn total(cluster: &ProcessTestbed) -> (f64, f64) {
     let (mut seconds, mut resident) = (0.0, 0.0);
-    for node in &bed.nodes {
+    for node in &cluster.nodes {
         let usage = node.usage();
         seconds += usage.processor.as_secs_f64();
         resident += usage.resident;
--- a/crates/bench/src/capacity/measure/decision.rs
+++ b/crates/bench/src/capacity/measure/decision.rs
@@ -1,4 +1,4 @@
-//! What one decision of where to run a request costs.
+//! The cost of one placement decision.
 
 use std::{
     hint::black_box,
@@ -17,12 +17,12 @@
 
 /// The numbers of workers.
 const WORKERS: [usize; 6] = [4, 16, 64, 215, 430, 860];
-/// The placement that nodes use.
+/// The placement policy that nodes use.
 const PLACEMENT: &str = "predicted";
 /// How long each number is measured.
 const LENGTH: Duration = Duration::from_millis(150);
 
-/// Measures microseconds for one decision against the workers that it chooses from.
+/// Measures the microseconds of one placement decision against the number of workers.
 pub fn measure() -> Vec<Named> {
     let mut points = Vec::new();
     for count in WORKERS {
--- a/crates/bench/src/capacity/measure/mod.rs
+++ b/crates/bench/src/capacity/measure/mod.rs
@@ -1,10 +1,10 @@
-//! The measurements: each yields one or more slopes over three or more sizes.
+//! The measurements: each returns one or more slopes over at least three sizes.
 
-mod bed;
 mod codec;
 mod control;
 mod decision;
 mod orders;
+mod process_testbed;
 mod relay;
 
 use std::error;
@@ -17,11 +17,11 @@
 /// A named slope.
 pub type Named = (&'static str, Slope);
 
-/// The groups of measurements, in the order in which they are taken.
+/// The groups of measurements, in the order in which they run.
 pub const GROUPS: [&str; 7] =
     ["codec", "decision", "orders", "requests", "streams", "kept", "control"];
 
-/// Takes the measurements of a group, one after the other.
+/// Runs the measurements of a group one after the other; an unknown group has none.
 pub async fn group(name: &str) -> Measured<Vec<Named>> {
     match name {
         "codec" => codec::measure(),
--- a/crates/bench/src/capacity/measure/bed.rs
+++ b/crates/bench/src/capacity/measure/process_testbed.rs
@@ -1,4 +1,4 @@
-//! Stand-ins in this process and nodes in processes of their own.
+//! A testbed with simulated servers in this process and nodes in child processes.
 
 use std::time::{Duration, Instant};
 
@@ -12,36 +12,36 @@
     testbed::MODEL,
 };
 
-/// The longest time that nodes may take to learn the configuration.
-const READY: Duration = Duration::from_secs(10);
-/// The zones that nodes are spread over.
+/// How long to wait until the nodes have the configuration in force.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The zones that nodes are distributed over.
 const ZONES: [&str; 4] = ["suva-a", "suva-b", "nausori", "navua"];
 
-/// A `Bed` is a set of stand-ins with nodes in processes of their own.
-pub struct Bed {
-    /// The stand-ins.
+/// A `ProcessTestbed` is a set of simulated servers with nodes in child processes.
+pub struct ProcessTestbed {
+    /// The simulated servers.
     pub testbed: Testbed,
     /// The nodes.
     pub nodes: Vec<NodeChild>,
 }
 
-impl Bed {
-    /// Starts stand-ins and nodes and waits until all nodes serve.
-    pub async fn start(nodes: usize, options: TestbedOptions) -> Measured<Bed> {
+impl ProcessTestbed {
+    /// Starts simulated servers and nodes and waits until all nodes serve the model.
+    pub async fn start(nodes: usize, options: TestbedOptions) -> Measured<ProcessTestbed> {
         let testbed = Testbed::start(TestbedOptions { nodes: 0, ..options }).await?;
-        let mut bed = Bed { testbed, nodes: Vec::new() };
+        let mut cluster = ProcessTestbed { testbed, nodes: Vec::new() };
         for at in 0..nodes {
-            let seeds: Vec<_> = bed.nodes.iter().map(NodeChild::peers).collect();
+            let seeds: Vec<_> = cluster.nodes.iter().map(NodeChild::peers).collect();
             let zone = ZONES[at % ZONES.len()];
-            bed.nodes.push(NodeChild::start(bed.testbed.kv.address(), at, zone, &seeds)?);
+            cluster.nodes.push(NodeChild::start(cluster.testbed.kv.address(), at, zone, &seeds)?);
         }
-        for node in &bed.nodes {
+        for node in &cluster.nodes {
             wait(node).await?;
         }
-        Ok(bed)
+        Ok(cluster)
     }
 
-    /// Returns a caller of the first node.
+    /// Returns a caller that sends to the first node.
     pub fn caller(&self) -> Caller {
         Caller::new(self.nodes[0].callers(), "workshop")
     }
@@ -49,13 +49,13 @@
 
 async fn wait(node: &NodeChild) -> Measured<()> {
     let caller = Caller::new(node.callers(), "workshop");
-    let until = Instant::now() + READY;
-    while Instant::now() < until {
+    let deadline = Instant::now() + READY_TIMEOUT;
+    while Instant::now() < deadline {
         let models = caller.json(Method::GET, "/v1/models", &[], &Value::Null).await;
         if models.is_ok_and(|models| models["data"][0]["id"] == MODEL) {
             return Ok(());
         }
         sleep(Duration::from_millis(20)).await;
     }
-    Err("a node did not learn the configuration".into())
+    Err("a node did not serve the model in time".into())
 }
--- a/crates/bench/src/capacity/measure/relay.rs
+++ b/crates/bench/src/capacity/measure/relay.rs
@@ -1,4 +1,4 @@
-//! What requests, streams and kept answers cost a node.
+//! The cost of requests, streams and retained answers for a node.
 
 use std::{
     sync::{
@@ -20,28 +20,28 @@
     Caller, TestbedOptions,
     capacity::{
         NodeChild, Point, Slope, Usage,
-        measure::{Measured, Named, bed::Bed},
+        measure::{Measured, Named, process_testbed::ProcessTestbed},
     },
     testbed::MODEL,
 };
 
-/// The streams that are open at once.
+/// The numbers of concurrent streams.
 const STREAMS: [usize; 5] = [25, 50, 100, 200, 400];
-/// The streams that one engine is given.
+/// The number of streams per engine.
 const STREAMS_PER_ENGINE: usize = 32;
-/// The tokens that a stream may have; enough that none ends while it is measured.
-const LONG: u32 = 4_000;
-/// The time in which nodes get to know each other.
+/// The maximum tokens of a stream; high enough that none ends while it is measured.
+const STREAM_TOKENS: u32 = 4_000;
+/// How long to wait until the nodes know each other.
 const SETTLE: Duration = Duration::from_millis(1_500);
 /// How long streams are measured.
 const WINDOW: Duration = Duration::from_secs(4);
 /// The numbers of short requests.
 const REQUESTS: [usize; 3] = [500, 1_000, 2_000];
-/// The short requests that are open at once.
-const AT_ONCE: usize = 16;
-/// The numbers of finished answers that a node keeps.
+/// The number of concurrent short requests.
+const CONCURRENCY: usize = 16;
+/// The numbers of finished answers that a node retains.
 const KEPT: [usize; 3] = [300, 600, 1_200];
-/// The tokens of a finished answer, as the target has it on average.
+/// The tokens of a finished answer, about the average at the target size.
 const KEPT_TOKENS: u32 = 400;
 /// The time between tokens.
 const GAP: Duration = Duration::from_millis(25);
@@ -53,8 +53,8 @@
     holder_memory: Point,
 }
 
-/// Measures against tokens relayed and open streams what the owner spends, what the holder of the
-/// copies spends, and what an owner without any peer to copy to spends.
+/// Measures the processor time and memory of the owner of streams, of the holder of their copies,
+/// and of an owner without a peer to copy to, against relayed tokens and open streams.
 pub async fn streams() -> Measured<Vec<Named>> {
     let mut alone = Vec::new();
     for streams in STREAMS {
@@ -80,23 +80,23 @@
 
 async fn run(nodes: usize, streams: usize) -> Measured<Run> {
     let engines = streams.div_ceil(STREAMS_PER_ENGINE);
-    let bed = Bed::start(nodes, options(engines, 1.0)).await?;
+    let cluster = ProcessTestbed::start(nodes, options(engines, 1.0)).await?;
     sleep(SETTLE).await;
     let (owner, holder) = (0, nodes - 1);
-    let idle: Vec<Usage> = bed.nodes.iter().map(NodeChild::usage).collect();
+    let idle: Vec<Usage> = cluster.nodes.iter().map(NodeChild::usage).collect();
     let tokens = Arc::new(AtomicU64::new(0));
     let mut open = JoinSet::new();
     for number in 0..streams {
-        let caller = Caller::new(bed.nodes[owner].callers(), "workshop");
-        open.spawn(count(caller, number, Arc::clone(&tokens)));
+        let caller = Caller::new(cluster.nodes[owner].callers(), "workshop");
+        open.spawn(count_tokens(caller, number, Arc::clone(&tokens)));
     }
     while tokens.load(Ordering::Relaxed) < streams as u64 * 4 {
         sleep(Duration::from_millis(50)).await;
     }
     let (started, first) = (Instant::now(), tokens.load(Ordering::Relaxed));
-    let before: Vec<Usage> = bed.nodes.iter().map(NodeChild::usage).collect();
+    let before: Vec<Usage> = cluster.nodes.iter().map(NodeChild::usage).collect();
     sleep(WINDOW).await;
-    let after: Vec<Usage> = bed.nodes.iter().map(NodeChild::usage).collect();
+    let after: Vec<Usage> = cluster.nodes.iter().map(NodeChild::usage).collect();
     let seconds = started.elapsed().as_secs_f64();
     let rate = (tokens.load(Ordering::Relaxed) - first) as f64 / seconds;
     open.shutdown().await;
@@ -115,29 +115,30 @@
     })
 }
 
-/// Measures a node's processor time against whole short requests.
+/// Measures a node's processor time against the number of short requests.
 pub async fn requests() -> Measured<Vec<Named>> {
-    let bed = Bed::start(1, options(2, 20.0)).await?;
+    let cluster = ProcessTestbed::start(1, options(2, 20.0)).await?;
     let mut points = Vec::new();
     for requests in REQUESTS {
-        let before = bed.nodes[0].usage();
-        ask(&bed, requests, 1).await?;
-        let used = bed.nodes[0].usage().processor - before.processor;
+        let before = cluster.nodes[0].usage();
+        send_requests(&cluster, requests, 1).await?;
+        let used = cluster.nodes[0].usage().processor - before.processor;
         points.push(Point { size: requests as f64, value: used.as_secs_f64() * 1e6 });
     }
     Ok(vec![("request_processor", Slope::through("µs of processor", "requests", points))])
 }
 
-/// Measures a node's memory against finished answers that it keeps for late readers.
+/// Measures a node's memory against the number of finished answers that it retains for late
+/// readers.
 pub async fn kept_answers() -> Measured<Vec<Named>> {
-    let bed = Bed::start(1, options(8, 50.0)).await?;
-    ask(&bed, AT_ONCE, KEPT_TOKENS).await?;
-    let before = bed.nodes[0].usage();
+    let cluster = ProcessTestbed::start(1, options(8, 50.0)).await?;
+    send_requests(&cluster, CONCURRENCY, KEPT_TOKENS).await?;
+    let before = cluster.nodes[0].usage();
     let (mut points, mut kept) = (Vec::new(), 0);
-    for upto in KEPT {
-        ask(&bed, upto - kept, KEPT_TOKENS).await?;
-        kept = upto;
-        let grown = bed.nodes[0].usage().resident - before.resident;
+    for total in KEPT {
+        send_requests(&cluster, total - kept, KEPT_TOKENS).await?;
+        kept = total;
+        let grown = cluster.nodes[0].usage().resident - before.resident;
         points.push(Point { size: kept as f64, value: grown });
     }
     let value = "kB resident above the start";
@@ -156,11 +157,11 @@
     TestbedOptions { engines, engine, ..TestbedOptions::default() }
 }
 
-async fn ask(bed: &Bed, requests: usize, max_tokens: u32) -> Measured<()> {
+async fn send_requests(cluster: &ProcessTestbed, requests: usize, max_tokens: u32) -> Measured<()> {
     let mut open = JoinSet::new();
-    for part in 0..AT_ONCE {
-        let caller = bed.caller();
-        let share = requests / AT_ONCE + usize::from(part < requests % AT_ONCE);
+    for part in 0..CONCURRENCY {
+        let caller = cluster.caller();
+        let share = requests / CONCURRENCY + usize::from(part < requests % CONCURRENCY);
         open.spawn(async move {
             for number in 0..share {
                 let prompt = format!("which glaze {part} {number}");
@@ -175,11 +176,11 @@
     Ok(())
 }
 
-async fn count(caller: Caller, number: usize, tokens: Arc<AtomicU64>) {
+async fn count_tokens(caller: Caller, number: usize, tokens: Arc<AtomicU64>) {
     let body = json!({
         "model": MODEL,
         "messages": [{ "role": "user", "content": format!("a long survey {number}") }],
-        "max_tokens": LONG,
+        "max_tokens": STREAM_TOKENS,
         "stream": true,
     });
     let headers = [("x-request-class", "urgent")];
--- a/crates/bench/src/capacity/mod.rs
+++ b/crates/bench/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! What each role needs at the target size, worked out from measured slopes.
+//! Capacity planning: the resources that each role needs at the target size, extrapolated from
+//! linear fits of measurements.
 
 pub mod measure;
 mod page;
--- a/crates/bench/src/capacity/page.rs
+++ b/crates/bench/src/capacity/page.rs
@@ -1,22 +1,22 @@
-//! The page whose tables are filled in from slopes.
+//! Replacement of the generated tables on the capacity page.
 
 use std::{collections::BTreeMap, error, fmt};
 
-/// The text before the name of a table.
+/// The start of the marker before a table; the table's name follows.
 const OPEN: &str = "<!-- table: ";
-/// The text behind the name of a table.
+/// The end of the marker before a table.
 const OPEN_END: &str = " -->\n";
-/// The text behind a table.
+/// The marker after a table.
 const CLOSE: &str = "<!-- end -->";
 
-/// A `PageError` tells why a page could not be filled in.
+/// A `PageError` is the reason why the tables of a page could not be replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PageError {
-    /// The page names a table that there is none of.
+    /// The page has a marker for an unknown table.
     UnknownTable(String),
-    /// A table's mark is not closed.
+    /// A table's marker is not closed.
     NotClosed(String),
-    /// A table has no place on the page.
+    /// The page has no marker for a table.
     NoPlace(String),
 }
 
@@ -24,8 +24,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PageError::UnknownTable(name) => write!(f, "there is no table {name:?}"),
-            PageError::NotClosed(name) => write!(f, "the mark of table {name:?} is not closed"),
-            PageError::NoPlace(name) => write!(f, "the page has no place for table {name:?}"),
+            PageError::NotClosed(name) => write!(f, "the marker of table {name:?} is not closed"),
+            PageError::NoPlace(name) => write!(f, "the page has no marker for table {name:?}"),
         }
     }
 }
--- a/crates/bench/src/capacity/process.rs
+++ b/crates/bench/src/capacity/process.rs
@@ -1,4 +1,4 @@
-//! One node in a process of its own, whose processor time and memory can be read.
+//! A node in a child process whose processor time and memory can be measured.
 
 use std::{
     fs, io,
@@ -15,21 +15,22 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The word that makes the program run as a node.
+/// The first argument that makes the program run as a node.
 const NODE_WORD: &str = "node";
-/// The answers that one engine is given at once, so that measuring never waits for a place.
+/// The concurrent answers per engine; high enough that requests never queue for a free slot while
+/// they are measured.
 const ANSWERS_PER_ENGINE: usize = 64;
 
-/// A `Usage` is what a process has used so far.
+/// A `Usage` is the processor time and memory that a process uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// The processor time of the threads that live.
+    /// The total processor time of the threads that are still running.
     pub processor: Duration,
-    /// The memory that is resident, in kilobytes.
+    /// The resident memory, in kilobytes.
     pub resident: f64,
 }
 
-/// A `NodeChild` is one node in a process of its own; it ends when this is dropped.
+/// A `NodeChild` is a node in a child process, which is killed when this is dropped.
 pub struct NodeChild {
     child: Child,
     ports: Ports,
@@ -73,7 +74,7 @@
         self.ports.peers
     }
 
-    /// Returns what the node has used so far.
+    /// Returns the resources that the node has used so far.
     pub fn usage(&self) -> Usage {
         usage(self.child.id())
     }
@@ -86,9 +87,9 @@
     }
 }
 
-/// Runs a node until the standard input ends, if the arguments ask for it.
+/// Runs a node until the standard input is closed if `args` are those of a child process.
 ///
-/// Returns whether they did.
+/// Returns whether they are.
 pub async fn serve_node(args: &[String]) -> io::Result<bool> {
     let [word, kv, at, zone, seeds] = args else { return Ok(false) };
     if word != NODE_WORD {
@@ -119,7 +120,7 @@
     Ok(true)
 }
 
-/// Returns what a process has used so far; zero where it is gone.
+/// Returns the resources that a process has used so far; zero if it no longer exists.
 pub fn usage(process: u32) -> Usage {
     let tasks = fs::read_dir(format!("/proc/{process}/task")).into_iter().flatten().flatten();
     let mut nanos = 0;
--- a/crates/bench/src/capacity/tables.rs
+++ b/crates/bench/src/capacity/tables.rs
@@ -1,87 +1,88 @@
-//! The tables of the capacity page, worked out from slopes and the target.
+//! The tables of the capacity page, computed from slopes and the target.
 
 use std::collections::BTreeMap;
 
 use crate::capacity::{Slope, Slopes, Target};
 
-/// The words that stand where nothing was measured.
+/// The text for a value without a measurement.
 const NOT_MEASURED: &str = "not measured";
-/// The mark of a figure that lies beyond the measured range.
-const BEYOND: &str = " (e)";
-/// The seconds for which finished answers are kept.
+/// The mark of a value that is extrapolated beyond the measured range.
+const EXTRAPOLATED: &str = " (e)";
+/// The seconds for which finished answers are retained.
 const KEPT_SECONDS: f64 = 300.0;
-/// The most finished answers that a node keeps.
-const KEPT_ANSWERS: f64 = 20_000.0;
-/// The bytes of a request at the target, of which nothing is known; as the mixes have it.
+/// The maximum number of finished answers that a node retains.
+const MAX_KEPT_ANSWERS: f64 = 20_000.0;
+/// The bytes of a request at the target; not known, so the value of the load mixes is assumed.
 const REQUEST_BYTES: f64 = 2_000.0;
-/// The requests for each node at which a core is taken to be full.
+/// The microseconds of processor time per second at which a core is saturated.
 const CORE_MICROS: f64 = 1e6;
-/// The share of a core that serving may take before tails grow.
+/// The share of a core that serving may use before tail latencies grow.
 const CORE_SHARE: f64 = 0.5;
-/// The share of requests that may run at most once, of which nothing is known; as the mixes have it.
+/// The share of requests that may run at most once; not known, so the value of the load mixes is
+/// assumed.
 const ORDER_SHARE: f64 = 0.15;
 
-/// The share of variance that a line must explain to be carried on beyond its points.
-const CLEAR_FIT: f64 = 0.8;
+/// The minimum share of variance that a fit must explain to be extrapolated beyond its points.
+const MIN_FIT: f64 = 0.8;
 
-/// A `Sheet` reads figures off slopes and marks those beyond the measured range.
-struct Sheet<'a> {
+/// An `Estimator` computes estimates from slopes and marks those beyond the measured range.
+struct Estimator<'a> {
     slopes: &'a Slopes,
     target: &'a Target,
 }
 
-/// A `Figure` is a value that may be missing and may be extrapolated.
+/// An `Estimate` is a value that may be missing and may be extrapolated.
 #[derive(Clone, Copy)]
-struct Figure {
+struct Estimate {
     value: Option<f64>,
-    beyond: bool,
+    extrapolated: bool,
 }
 
-/// A `Limit` is what ends a resource, and the size of a quantity at which it does.
+/// A `Limit` is the size of a quantity at which the bound of a resource is reached.
 struct Limit {
     what: &'static str,
     quantity: &'static str,
-    today: Figure,
-    at: Figure,
+    at_target: Estimate,
+    at: Estimate,
     bound: String,
-    /// What is said where the measured values follow no line.
-    unclear: Option<String>,
+    /// The text for measured values that are not linear.
+    poor_fit: Option<String>,
 }
 
-/// Returns the tables by the names that the page gives to them.
+/// Returns the tables by their names on the page.
 pub fn tables(slopes: &Slopes, target: &Target) -> BTreeMap<&'static str, String> {
-    let sheet = Sheet { slopes, target };
+    let estimator = Estimator { slopes, target };
     BTreeMap::from([
-        ("slopes", sheet.slopes_table()),
-        ("load", sheet.load_table()),
-        ("roles", sheet.roles_table()),
-        ("relay", sheet.relay_table()),
-        ("kv", sheet.kv_table()),
-        ("limits", sheet.limits_table()),
+        ("slopes", estimator.slopes_table()),
+        ("load", estimator.load_table()),
+        ("roles", estimator.roles_table()),
+        ("relay", estimator.relay_table()),
+        ("kv", estimator.kv_table()),
+        ("limits", estimator.limits_table()),
     ])
 }
 
-impl Figure {
-    const MISSING: Figure = Figure { value: None, beyond: false };
+impl Estimate {
+    const MISSING: Estimate = Estimate { value: None, extrapolated: false };
 
-    fn exact(value: f64) -> Figure {
-        Figure { value: Some(value), beyond: false }
+    fn exact(value: f64) -> Estimate {
+        Estimate { value: Some(value), extrapolated: false }
     }
 
-    fn map(self, change: impl FnOnce(f64) -> f64) -> Figure {
-        Figure { value: self.value.map(change), ..self }
+    fn map(self, change: impl FnOnce(f64) -> f64) -> Estimate {
+        Estimate { value: self.value.map(change), ..self }
     }
 
-    fn plus(self, other: Figure) -> Figure {
+    fn plus(self, other: Estimate) -> Estimate {
         let value = self.value.zip(other.value).map(|(a, b)| a + b);
-        Figure { value, beyond: self.beyond || other.beyond }
+        Estimate { value, extrapolated: self.extrapolated || other.extrapolated }
     }
 
     fn text(self, unit: &str) -> String {
         match self.value {
             None => NOT_MEASURED.to_owned(),
             Some(value) => {
-                let mark = if self.beyond { BEYOND } else { "" };
+                let mark = if self.extrapolated { EXTRAPOLATED } else { "" };
                 let unit = if unit.is_empty() { String::new() } else { format!(" {unit}") };
                 format!("{}{unit}{mark}", number(value))
             }
@@ -89,18 +90,18 @@
     }
 }
 
-impl Sheet<'_> {
+impl Estimator<'_> {
     fn slope(&self, name: &str) -> Option<&Slope> {
         self.slopes.slopes.get(name)
     }
 
-    fn at(&self, name: &str, size: f64) -> Figure {
-        let Some(slope) = self.slope(name) else { return Figure::MISSING };
-        Figure { value: Some(slope.at(size)), beyond: slope.is_beyond(size) }
+    fn at(&self, name: &str, size: f64) -> Estimate {
+        let Some(slope) = self.slope(name) else { return Estimate::MISSING };
+        Estimate { value: Some(slope.at(size)), extrapolated: slope.is_extrapolated(size) }
     }
 
-    fn each(&self, name: &str) -> Figure {
-        self.slope(name).map_or(Figure::MISSING, |slope| Figure::exact(slope.each))
+    fn each(&self, name: &str) -> Estimate {
+        self.slope(name).map_or(Estimate::MISSING, |slope| Estimate::exact(slope.each))
     }
 
     fn node_tokens(&self) -> f64 {
@@ -116,7 +117,7 @@
     }
 
     fn kept_answers(&self) -> f64 {
-        (self.node_requests() * KEPT_SECONDS).min(KEPT_ANSWERS)
+        (self.node_requests() * KEPT_SECONDS).min(MAX_KEPT_ANSWERS)
     }
 
     fn slopes_table(&self) -> String {
@@ -244,7 +245,7 @@
     fn holder_row(&self) -> Vec<String> {
         let (tokens, answers) = (self.node_tokens(), self.node_answers());
         let first = self.at("copy_bytes", REQUEST_BYTES).map(|it| it * self.node_requests());
-        // With a few hundred holders to choose from, tokens of two streams seldom share a message.
+        // With a few hundred holders to choose from, tokens of two streams rarely share a message.
         let rest = self.at("token_bytes", 1.0).map(|bytes| bytes * tokens);
         vec![
             "copy holder".to_owned(),
@@ -353,10 +354,18 @@
         let events = (target.failures + target.replacements) / 86_400.0;
         let orders = self.each("order_writes").map(|each| each * target.requests * ORDER_SHARE);
         let rows = [
-            ("watches of the configuration, two a zone, 3 s each", Figure::exact(watches), "reads"),
-            ("reads after a change, all watchers", Figure::exact(changes * watchers), "reads"),
-            ("writes for changes, three at most for each", Figure::exact(changes * 3.0), "writes"),
-            ("reads at the start of nodes for VM events", Figure::exact(events * 2.0), "reads"),
+            (
+                "watches of the configuration, two a zone, 3 s each",
+                Estimate::exact(watches),
+                "reads",
+            ),
+            ("reads after a change, all watchers", Estimate::exact(changes * watchers), "reads"),
+            (
+                "writes for changes, three at most for each",
+                Estimate::exact(changes * 3.0),
+                "writes",
+            ),
+            ("reads at the start of nodes for VM events", Estimate::exact(events * 2.0), "reads"),
             ("measured with idle nodes: reads", self.at("kv_reads", target.nodes), "reads"),
             ("measured with idle nodes: watches", self.at("kv_watches", watchers), "reads"),
             (
@@ -460,13 +469,14 @@
                 "1.8 % of a core",
             ),
         ];
-        limits.sort_by(|a, b| a.reach().total_cmp(&b.reach()));
+        limits.sort_by(|a, b| a.headroom().total_cmp(&b.headroom()));
         let mut rows = Vec::new();
         for limit in limits {
-            let reach = limit.reach();
-            let reach = if reach.is_finite() { format!("{reach:.2}") } else { "-".to_owned() };
+            let headroom = limit.headroom();
+            let headroom =
+                if headroom.is_finite() { format!("{headroom:.2}") } else { "-".to_owned() };
             let at = match limit.at.value {
-                _ if limit.unclear.is_some() => limit.unclear.clone().unwrap_or_default(),
+                _ if limit.poor_fit.is_some() => limit.poor_fit.clone().unwrap_or_default(),
                 Some(at) if at.is_infinite() => "not within sight".to_owned(),
                 Some(0.0) => "above it without any".to_owned(),
                 _ => limit.at.text(""),
@@ -475,9 +485,9 @@
                 limit.what.to_owned(),
                 limit.bound,
                 limit.quantity.to_owned(),
-                limit.today.text(""),
+                limit.at_target.text(""),
                 at,
-                reach,
+                headroom,
             ]);
         }
         let head =
@@ -492,41 +502,41 @@
         name: &str,
         target: f64,
         bound: f64,
-        words: &str,
+        bound_text: &str,
     ) -> Limit {
         let at = match self.slope(name) {
-            None => Figure::MISSING,
-            Some(slope) if slope.each <= 0.0 => Figure::exact(f64::INFINITY),
+            None => Estimate::MISSING,
+            Some(slope) if slope.each <= 0.0 => Estimate::exact(f64::INFINITY),
             Some(slope) => {
                 let size = ((bound - slope.fixed) / slope.each).max(0.0);
-                Figure { value: Some(size), beyond: slope.is_beyond(size) }
+                Estimate { value: Some(size), extrapolated: slope.is_extrapolated(size) }
             }
         };
-        let unclear = self.slope(name).and_then(|slope| unclear(slope, bound));
-        let (today, bound) = (Figure::exact(target), words.to_owned());
-        Limit { what, quantity, today, at, bound, unclear }
+        let poor_fit = self.slope(name).and_then(|slope| poor_fit(slope, bound));
+        let (at_target, bound) = (Estimate::exact(target), bound_text.to_owned());
+        Limit { what, quantity, at_target, at, bound, poor_fit }
     }
 }
 
 impl Limit {
-    // The share of the target that is carried before the bound is met.
-    fn reach(&self) -> f64 {
-        if self.unclear.is_some() {
+    // Returns the size at which the bound is reached, as a multiple of the target size.
+    fn headroom(&self) -> f64 {
+        if self.poor_fit.is_some() {
             return f64::INFINITY;
         }
-        let reach = self.at.value.zip(self.today.value).map(|(at, target)| at / target);
-        reach.unwrap_or(f64::INFINITY)
+        let headroom = self.at.value.zip(self.at_target.value).map(|(at, target)| at / target);
+        headroom.unwrap_or(f64::INFINITY)
     }
 }
 
-// Values that scatter more than they rise say nothing of larger sizes.
-fn unclear(slope: &Slope, bound: f64) -> Option<String> {
-    if CLEAR_FIT <= slope.fit {
+// Values whose variance the fit does not explain can't be extrapolated to larger sizes.
+fn poor_fit(slope: &Slope, bound: f64) -> Option<String> {
+    if MIN_FIT <= slope.fit {
         return None;
     }
     let shares = || slope.points.iter().map(|point| point.value / bound);
-    let (least, most) = (shares().fold(f64::INFINITY, f64::min), shares().fold(0.0, f64::max));
-    Some(format!("no clear line; {} to {} of the bound as measured", number(least), number(most)))
+    let (min, max) = (shares().fold(f64::INFINITY, f64::min), shares().fold(0.0, f64::max));
+    Some(format!("no clear line; {} to {} of the bound as measured", number(min), number(max)))
 }
 
 fn megabytes(kilobytes: f64) -> f64 {
--- a/crates/bench/src/capacity/target.rs
+++ b/crates/bench/src/capacity/target.rs
@@ -1,41 +1,41 @@
-//! The size that the system has to carry.
+//! The size that the system has to support.
 
-/// A `Target` is the size that capacity is worked out for.
+/// A `Target` is the size that capacity is computed for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// The nodes.
+    /// The number of nodes.
     pub nodes: f64,
-    /// The workers.
+    /// The number of workers.
     pub workers: f64,
-    /// The accelerators of all workers.
+    /// The number of accelerators of all workers.
     pub accelerators: f64,
-    /// The regions.
+    /// The number of regions.
     pub regions: f64,
-    /// The availability zones.
+    /// The number of availability zones.
     pub zones: f64,
-    /// The requests in a second at the peak.
+    /// The requests per second at the peak.
     pub requests: f64,
-    /// The tokens generated in a second at the peak.
+    /// The generated tokens per second at the peak.
     pub tokens: f64,
-    /// The seconds to the first token.
+    /// The time to the first token, in seconds.
     pub first_token: f64,
-    /// The seconds between tokens.
+    /// The time between tokens, in seconds.
     pub gap: f64,
-    /// The changes of configuration in a day.
+    /// The configuration changes per day.
     pub changes: f64,
-    /// The VMs that fail in a day.
+    /// The VMs that fail per day.
     pub failures: f64,
-    /// The VMs that are restarted or replaced in a day.
+    /// The VMs that are restarted or replaced per day.
     pub replacements: f64,
-    /// The part of a core that a node may spend for control.
+    /// The share of a core that a node may use for control traffic.
     pub control_core: f64,
-    /// The megabytes that a node may hold for control.
+    /// The megabytes of memory that a node may use for control traffic.
     pub control_megabytes: f64,
-    /// The kilobytes in a second that a node may send and receive for control.
+    /// The kilobytes per second of control traffic that a node may send and receive.
     pub control_kilobytes: f64,
-    /// The writes in a second that the key-value service takes, as the stand-in has it.
+    /// The writes per second that the key-value service accepts; the limit of the simulated one.
     pub kv_writes: f64,
-    /// The reads in a second that the key-value service takes, waiting watches included.
+    /// The reads per second that the key-value service accepts, including waiting watches.
     pub kv_reads: f64,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Target {
-    /// Returns the tokens of an average answer.
+    /// Returns the number of tokens of an average answer.
     pub fn answer_tokens(&self) -> f64 {
         self.tokens / self.requests
     }
@@ -74,12 +74,12 @@
         self.first_token + self.answer_tokens() * self.gap
     }
 
-    /// Returns the answers that are open at once on all nodes.
+    /// Returns the number of concurrently open answers on all nodes.
     pub fn open_answers(&self) -> f64 {
         self.requests * self.open_seconds()
     }
 
-    /// Returns the nodes that are left when one availability zone is gone.
+    /// Returns the number of nodes that remain when one availability zone is lost.
     pub fn nodes_without_a_zone(&self) -> f64 {
         self.nodes - self.nodes / self.zones
     }
--- a/crates/bench/src/testbed/control.rs
+++ b/crates/bench/src/testbed/control.rs
@@ -1,4 +1,4 @@
-//! The fault switches of a testbed, over HTTP.
+//! Fault injection into a testbed over HTTP.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,11 +14,11 @@
 
 use crate::testbed::{Machine, Testbed};
 
-/// A `ControlPort` turns the fault switches of a testbed.
+/// A `ControlPort` is the HTTP interface that injects faults into a testbed.
 ///
 /// `POST /faults/NAME` sets the faults of `kv`, `cloud`, `list`, `weights` or a VM,
-/// `POST /reclaim/NAME` takes back a VM or an availability zone, `POST /kill/VM` ends one without
-/// notice, and `GET /counts` tells what the stand-ins have seen.
+/// `POST /reclaim/NAME` reclaims a VM or an availability zone, `POST /kill/VM` ends a VM without
+/// notice, and `GET /counts` returns the counters of the simulated servers.
 pub struct ControlPort {
     testbed: Arc<Testbed>,
 }
@@ -36,7 +36,7 @@
 }
 
 impl ControlPort {
-    /// Returns the port of a testbed.
+    /// Returns the control port of a testbed.
     pub fn new(testbed: Arc<Testbed>) -> ControlPort {
         ControlPort { testbed }
     }
@@ -94,17 +94,17 @@
     fn reclaim(&self, name: &str, reclaim: Reclaim) -> Response<Body> {
         let notice = Duration::from_millis(reclaim.notice_ms);
         let vm = VmName::new(name).ok().filter(|vm| self.testbed.machines.get(vm).is_some());
-        let hit = match vm {
+        let reclaimed = match vm {
             Some(vm) => {
                 self.testbed.cloud.reclaim(&vm, notice);
                 vec![vm]
             }
             None => self.testbed.reclaim_zone(name, notice),
         };
-        if hit.is_empty() {
+        if reclaimed.is_empty() {
             return reply::status(StatusCode::NOT_FOUND);
         }
-        reply::json(&json!({ "reclaimed": hit }))
+        reply::json(&json!({ "reclaimed": reclaimed }))
     }
 
     fn counts(&self) -> Response<Body> {
--- a/crates/bench/src/testbed/error.rs
+++ b/crates/bench/src/testbed/error.rs
@@ -1,4 +1,4 @@
-//! Why a testbed could not be started.
+//! The error of starting a testbed.
 
 use std::{error, fmt, io};
 
@@ -6,7 +6,7 @@
 use bulrushhall_daemon::{config_chain::ApplyError, errors::NodeError};
 use error_stack::Report;
 
-/// A `TestbedError` tells why a testbed could not be started.
+/// A `TestbedError` is the reason why a testbed could not be started.
 #[derive(Debug)]
 pub enum TestbedError {
     /// A name is malformed.
@@ -17,7 +17,7 @@
     Config(ApplyError),
     /// A node could not be started.
     Node(Report<NodeError>),
-    /// The nodes did not learn the configuration in time.
+    /// The configuration was not in force on the nodes in time.
     Late,
 }
 
@@ -28,7 +28,7 @@
             TestbedError::Listen(error) => write!(f, "a port could not be opened: {error}"),
             TestbedError::Config(error) => write!(f, "the configuration was not written: {error}"),
             TestbedError::Node(report) => write!(f, "a node could not be started: {report:?}"),
-            TestbedError::Late => f.write_str("the nodes did not learn the configuration in time"),
+            TestbedError::Late => f.write_str("the configuration was not in force in time"),
         }
     }
 }
--- a/crates/bench/src/testbed/machines.rs
+++ b/crates/bench/src/testbed/machines.rs
@@ -1,4 +1,4 @@
-//! The VMs of a testbed: what runs on each, and what happens when the cloud starts or ends one.
+//! The VMs of a testbed, and the handling of VMs that the cloud starts or ends.
 
 use std::{
     collections::BTreeMap,
@@ -18,7 +18,7 @@
 
 use crate::testbed::NodeProcess;
 
-/// A `Machine` is what runs on one VM.
+/// A `Machine` is the server that runs on a VM.
 #[derive(Clone)]
 pub enum Machine {
     /// A model engine.
@@ -29,7 +29,7 @@
     Node(Arc<NodeProcess>),
 }
 
-/// `Machines` are the VMs that run.
+/// `Machines` are the running VMs.
 pub struct Machines {
     state: Mutex<State>,
     list: VmListServer,
@@ -43,11 +43,11 @@
 #[derive(Default)]
 struct State {
     running: BTreeMap<VmName, Machine>,
-    gone: Vec<EngineCounts>,
+    removed_engines: Vec<EngineCounts>,
 }
 
 impl Machines {
-    /// Returns no VMs yet; bought ones run an engine of `service` that serves `model`.
+    /// Returns an empty set of VMs; purchased VMs run an engine of `service` that serves `model`.
     pub fn new(
         list: VmListServer,
         service: ServiceName,
@@ -59,12 +59,12 @@
         Machines { state: Mutex::default(), list, model, service, plain, engine, boot }
     }
 
-    /// Returns the list of VMs that nodes ask.
+    /// Returns the VM list that nodes query.
     pub fn list(&self) -> &VmListServer {
         &self.list
     }
 
-    /// Notes what runs on a VM and puts backend servers on the list.
+    /// Registers a VM with its server and adds backend servers to the VM list.
     pub fn run(&self, vm: VmName, zone: ZoneName, machine: Machine) {
         let listed = match &machine {
             Machine::Engine(engine) => Some((&self.service, engine.address())),
@@ -78,7 +78,7 @@
         self.lock().running.insert(vm, machine);
     }
 
-    /// Ends what runs on a VM, without a notice to anyone but the list of VMs.
+    /// Kills the server on a VM without notice and removes the VM from the list.
     pub fn kill(&self, vm: &VmName) {
         self.list.remove(vm);
         let mut state = self.lock();
@@ -86,14 +86,14 @@
             None => {}
             Some(Machine::Engine(engine)) => {
                 engine.kill();
-                state.gone.push(engine.counts());
+                state.removed_engines.push(engine.counts());
             }
             Some(Machine::Service(service)) => service.kill(),
             Some(Machine::Node(node)) => node.kill(),
         }
     }
 
-    /// Returns what all engines, also those of ended VMs, have done so far.
+    /// Returns the total counts of all engines, including those of ended VMs.
     pub fn engine_counts(&self) -> EngineCounts {
         let state = self.lock();
         let mut total = EngineCounts::default();
@@ -101,7 +101,7 @@
             Machine::Engine(engine) => Some(engine.counts()),
             Machine::Service(_) | Machine::Node(_) => None,
         });
-        for counts in running.chain(state.gone.iter().copied()) {
+        for counts in running.chain(state.removed_engines.iter().copied()) {
             total.generates += counts.generates;
             total.computed_tokens += counts.computed_tokens;
             total.recomputed_tokens += counts.recomputed_tokens;
@@ -111,7 +111,7 @@
         total
     }
 
-    /// Returns the engines that run.
+    /// Returns the running engines.
     pub fn engines(&self) -> Vec<Arc<EngineServer>> {
         let state = self.lock();
         let engines = state.running.values().filter_map(|machine| match machine {
@@ -121,7 +121,7 @@
         engines.collect()
     }
 
-    /// Returns the nodes that run.
+    /// Returns the running nodes.
     pub fn nodes(&self) -> Vec<Arc<NodeProcess>> {
         let state = self.lock();
         let nodes = state.running.values().filter_map(|machine| match machine {
@@ -131,7 +131,7 @@
         nodes.collect()
     }
 
-    /// Gets what runs on a VM.
+    /// Returns the server that runs on a VM.
     pub fn get(&self, vm: &VmName) -> Option<Machine> {
         self.lock().running.get(vm).cloned()
     }
@@ -149,8 +149,11 @@
     }
 }
 
-/// Carries out what the cloud decides, until the cloud is gone.
-pub async fn follow(machines: Arc<Machines>, mut events: mpsc::UnboundedReceiver<MachineEvent>) {
+/// Starts and kills VMs as the cloud's events say, until the cloud is dropped.
+pub async fn apply_events(
+    machines: Arc<Machines>,
+    mut events: mpsc::UnboundedReceiver<MachineEvent>,
+) {
     while let Some(event) = events.recv().await {
         match event {
             MachineEvent::Removed(vm) => machines.kill(&vm),
--- a/crates/bench/src/testbed/mod.rs
+++ b/crates/bench/src/testbed/mod.rs
@@ -1,4 +1,4 @@
-//! A whole deployment in one process: stand-ins, configuration, VMs and nodes.
+//! A whole deployment in one process: simulated servers, configuration, VMs and nodes.
 
 mod config;
 mod control;
@@ -38,13 +38,13 @@
 pub use options::TestbedOptions;
 pub use process::{NODE_THREAD, NodeProcess};
 
-/// The longest time that nodes may take to learn a configuration.
-const CONFIG_WAIT: Duration = Duration::from_secs(10);
-/// The class of machine that engines run on.
+/// How long to wait until the nodes have the configuration in force.
+const CONFIG_TIMEOUT: Duration = Duration::from_secs(10);
+/// The machine class that engines run on.
 pub const ENGINE_CLASS: &str = "accelerated";
-/// The class of machine that nodes and plain services run on.
+/// The machine class that nodes and plain services run on.
 pub const SMALL_CLASS: &str = "small";
-/// How much cheaper a small machine is than one with accelerators.
+/// The ratio of the price of a machine with accelerators to that of a small one.
 const SMALL_DIVISOR: u64 = 20;
 
 /// A `Testbed` is a whole deployment in one process.
@@ -55,24 +55,25 @@
     pub cloud: CloudServer,
     /// The weight store.
     pub weights: WeightServer,
-    /// The VMs and what runs on them, bought ones included.
+    /// The VMs and the servers on them, including purchased ones.
     pub machines: Arc<Machines>,
     /// The engines that the testbed started with.
     pub engines: Vec<Arc<EngineServer>>,
     /// The backend servers of the plain service.
     pub services: Vec<Arc<ServiceServer>>,
-    /// What the plain service has executed.
+    /// The calls that the plain service has executed.
     pub ledger: Arc<Ledger>,
     /// The nodes.
     pub nodes: Vec<Arc<NodeProcess>>,
     /// The configuration's text.
     pub config: String,
     options: TestbedOptions,
-    follower: JoinHandle<()>,
+    event_task: JoinHandle<()>,
 }
 
 impl Testbed {
-    /// Starts the stand-ins, writes the configuration, starts the nodes and waits for them.
+    /// Starts the simulated servers, writes the configuration, starts the nodes and waits until
+    /// they have it in force.
     pub async fn start(options: TestbedOptions) -> Result<Testbed, TestbedError> {
         let (cloud, events) = CloudServer::start(offers(&options)?).await?;
         let list = VmListServer::start(options.list_lag).await?;
@@ -82,7 +83,7 @@
         let engine = options.engine.clone();
         let machines = Machines::new(list, service, plain, model, engine, options.boot);
         let machines = Arc::new(machines);
-        let follower = tokio::spawn(machines::follow(Arc::clone(&machines), events));
+        let event_task = tokio::spawn(machines::apply_events(Arc::clone(&machines), events));
 
         let mut testbed = Testbed {
             kv: KvServer::start(options.kv.clone()).await?,
@@ -95,7 +96,7 @@
             nodes: Vec::new(),
             config: String::new(),
             options,
-            follower,
+            event_task,
         };
         testbed.start_backends().await?;
         testbed.write_config().await?;
@@ -108,17 +109,17 @@
         Ok(testbed)
     }
 
-    /// Returns a caller of the first team that uses node number `at`.
+    /// Returns a caller of the first team that sends to node number `at`.
     pub fn caller(&self, at: usize) -> Caller {
         Caller::new(self.nodes[at].callers(), "workshop")
     }
 
-    /// Returns the addresses for callers of the nodes that live.
+    /// Returns the caller addresses of all running nodes.
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.machines.nodes().iter().map(|node| node.callers()).collect()
     }
 
-    /// Returns the zone of the thing that was started as number `at` of its kind.
+    /// Returns the zone of the node, engine or service with number `at`.
     pub fn zone_of(&self, at: usize) -> &'static str {
         self.options.zones[at % self.options.zones.len()]
     }
@@ -136,24 +137,25 @@
         Ok(())
     }
 
-    /// Starts life number `life` of everything that the testbed started with in a zone, on new
-    /// VMs; the cloud does so for VMs that it has taken back once it has machines again.
-    pub async fn replace_zone(&self, zone: &str, life: usize) -> Result<(), TestbedError> {
+    /// Starts all initial servers of a zone again as incarnation `incarnation`, on new VMs.
+    ///
+    /// The cloud replaces reclaimed VMs in this way once it has capacity again.
+    pub async fn replace_zone(&self, zone: &str, incarnation: usize) -> Result<(), TestbedError> {
         for at in (0..self.options.services).filter(|at| self.zone_of(*at) == zone) {
-            self.start_service(VmName::new(format!("vm-ledger-{at}-{life}"))?, zone).await?;
+            self.start_service(VmName::new(format!("vm-ledger-{at}-{incarnation}"))?, zone).await?;
         }
         for at in (0..self.options.engines).filter(|at| self.zone_of(*at) == zone) {
-            self.start_engine(VmName::new(format!("vm-engine-{at}-{life}"))?, zone).await?;
+            self.start_engine(VmName::new(format!("vm-engine-{at}-{incarnation}"))?, zone).await?;
         }
         for at in (0..self.options.nodes).filter(|at| self.zone_of(*at) == zone) {
-            self.replace_node(at, life).await?;
+            self.replace_node(at, incarnation).await?;
         }
         Ok(())
     }
 
-    /// Starts life number `life` of a node on a new VM.
-    pub async fn replace_node(&self, at: usize, life: usize) -> Result<(), TestbedError> {
-        let vm = VmName::new(format!("vm-entry-{at}-{life}"))?;
+    /// Starts a node again as incarnation `incarnation`, on a new VM.
+    pub async fn replace_node(&self, at: usize, incarnation: usize) -> Result<(), TestbedError> {
+        let vm = VmName::new(format!("vm-entry-{at}-{incarnation}"))?;
         self.start_node(vm, at, self.zone_of(at), &self.options.settings).await.map(drop)
     }
 
@@ -180,7 +182,7 @@
         platform.vm_list = Some(self.machines.list().address());
         platform.weights = Some(self.weights.address());
         let node = Arc::new(NodeProcess::start(settings).await?);
-        self.adopt(&vm, &zone, self.options.price / SMALL_DIVISOR);
+        self.register_vm(&vm, &zone, self.options.price / SMALL_DIVISOR);
         self.machines.run(vm, zone, Machine::Node(Arc::clone(&node)));
         Ok(node)
     }
@@ -194,7 +196,7 @@
         let model = ModelName::new(MODEL)?;
         let engine = EngineServer::start(vm.clone(), model, self.options.engine.clone());
         let engine = Arc::new(engine.await?);
-        self.adopt(&vm, &zone, self.options.price);
+        self.register_vm(&vm, &zone, self.options.price);
         self.machines.run(vm, zone, Machine::Engine(Arc::clone(&engine)));
         Ok(engine)
     }
@@ -208,12 +210,12 @@
         let ledger = Arc::clone(&self.ledger);
         let service = ServiceServer::start(vm.clone(), ledger, self.options.service.clone());
         let service = Arc::new(service.await?);
-        self.adopt(&vm, &zone, self.options.price / SMALL_DIVISOR);
+        self.register_vm(&vm, &zone, self.options.price / SMALL_DIVISOR);
         self.machines.run(vm, zone, Machine::Service(Arc::clone(&service)));
         Ok(service)
     }
 
-    /// Announces that all reclaimable VMs of a zone are taken back after `notice`.
+    /// Announces the reclaim of all reclaimable VMs of a zone after `notice`; returns these VMs.
     pub fn reclaim_zone(&self, zone: &str, notice: Duration) -> Vec<VmName> {
         match ZoneName::new(zone) {
             Ok(zone) => self.cloud.reclaim_zone(&zone, notice),
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Refuses purchases of reclaimable VMs in the given zones, and only there.
+    /// Makes the cloud refuse purchases of reclaimable VMs in the given zones, and only there.
     pub fn refuse_in(&self, zones: &[&str]) {
         let zones = zones.iter().filter_map(|zone| ZoneName::new(zone).ok());
         let refused: BTreeSet<_> = zones.map(|zone| (zone, Market::Reclaimable)).collect();
@@ -250,15 +252,15 @@
         applied.map(drop).map_err(TestbedError::Config)
     }
 
-    fn adopt(&self, vm: &VmName, zone: &ZoneName, price: u64) {
+    fn register_vm(&self, vm: &VmName, zone: &ZoneName, price: u64) {
         self.cloud.register(vm.clone(), zone.clone(), Market::Reclaimable, price);
     }
 
     async fn wait_for_config(&self) -> Result<(), TestbedError> {
-        let until = Instant::now() + CONFIG_WAIT;
+        let deadline = Instant::now() + CONFIG_TIMEOUT;
         for node in &self.nodes {
             while node.context().in_force().revision.0 == 0 {
-                if until <= Instant::now() {
+                if deadline <= Instant::now() {
                     return Err(TestbedError::Late);
                 }
                 sleep(Duration::from_millis(5)).await;
@@ -270,7 +272,7 @@
 
 impl Drop for Testbed {
     fn drop(&mut self) {
-        self.follower.abort();
+        self.event_task.abort();
     }
 }
 
--- a/crates/bench/src/testbed/options.rs
+++ b/crates/bench/src/testbed/options.rs
@@ -1,36 +1,36 @@
-//! How large a testbed is and what its parts cost.
+//! The size of a testbed and the timing and prices of its servers.
 
 use std::time::Duration;
 
 use bulrushhall_daemon::Settings;
 use bulrushhall_standin::{engine::EngineOptions, kv::KvOptions, service::ServiceOptions};
 
-/// `TestbedOptions` size a testbed.
+/// `TestbedOptions` are the options of a testbed.
 #[derive(Clone, Debug)]
 pub struct TestbedOptions {
     /// The availability zones.
     pub zones: Vec<&'static str>,
-    /// The nodes, spread over the zones.
+    /// The number of nodes, distributed over the zones.
     pub nodes: usize,
-    /// The engines, spread over the zones.
+    /// The number of engines, distributed over the zones.
     pub engines: usize,
-    /// The backend servers of the plain service, spread over the zones.
+    /// The number of backend servers of the plain service, distributed over the zones.
     pub services: usize,
-    /// What the engines cost.
+    /// The timing and limits of the engines.
     pub engine: EngineOptions,
-    /// How the plain service behaves.
+    /// The behavior of the plain service.
     pub service: ServiceOptions,
-    /// The caps of the key-value service.
+    /// The rate limits of the key-value service.
     pub kv: KvOptions,
     /// The time from a purchase until the VM serves.
     pub boot: Duration,
-    /// How far the list of VMs lags behind.
+    /// The delay until a change shows in the VM list.
     pub list_lag: Duration,
-    /// The time that a load of model weights takes.
+    /// The time that loading model weights takes.
     pub weight_load: Duration,
-    /// The price of an hour of a reclaimable VM, in thousandths of a cent.
+    /// The hourly price of a reclaimable VM, in thousandths of a cent.
     pub price: u64,
-    /// How many times as much an on-demand VM costs.
+    /// The ratio of the price of an on-demand VM to that of a reclaimable one.
     pub on_demand_factor: u64,
     /// The settings that all nodes share.
     pub settings: Settings,
--- a/crates/bench/src/testbed/process.rs
+++ b/crates/bench/src/testbed/process.rs
@@ -1,4 +1,4 @@
-//! One node with a runtime of its own, so that it can die like a process.
+//! A node with its own runtime, so that it can be killed like a process.
 
 use std::{
     net::SocketAddr,
@@ -11,25 +11,25 @@
 
 use crate::testbed::TestbedError;
 
-/// The name of the threads that nodes run on; the stand-ins run on others.
+/// The name of the threads that nodes run on; the simulated servers run on other threads.
 pub const NODE_THREAD: &str = "node";
-/// The threads of one node's runtime.
-const THREADS: usize = 2;
+/// The number of threads of a node's runtime.
+const THREADS_PER_NODE: usize = 2;
 
-/// A `NodeProcess` is one node with a runtime of its own.
+/// A `NodeProcess` is a node with its own runtime.
 ///
-/// Killing it drops every task of the node at once, wherever it stands, as the death of its
-/// process would; a node that shared the test's runtime would go on in its detached tasks.
+/// Killing it drops all tasks of the node at once at any await point, like the death of a process.
+/// Detached tasks of a node that shared the test's runtime would keep running.
 pub struct NodeProcess {
     cx: Arc<Context>,
-    parts: Mutex<Option<(Node, Runtime)>>,
+    running: Mutex<Option<(Node, Runtime)>>,
 }
 
 impl NodeProcess {
     /// Starts a node.
     pub async fn start(settings: Settings) -> Result<NodeProcess, TestbedError> {
         let runtime = Builder::new_multi_thread()
-            .worker_threads(THREADS)
+            .worker_threads(THREADS_PER_NODE)
             .thread_name(NODE_THREAD)
             .enable_all()
             .build()?;
@@ -46,10 +46,10 @@
             }
         };
         let cx = Arc::clone(node.context());
-        Ok(NodeProcess { cx, parts: Mutex::new(Some((node, runtime))) })
+        Ok(NodeProcess { cx, running: Mutex::new(Some((node, runtime))) })
     }
 
-    /// Returns what the parts of the node share.
+    /// Returns the shared context of the node.
     pub fn context(&self) -> &Arc<Context> {
         &self.cx
     }
@@ -71,7 +71,7 @@
 
     /// Returns whether the node has neither been stopped nor killed.
     pub fn is_alive(&self) -> bool {
-        self.parts.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).is_some()
+        self.running.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).is_some()
     }
 
     /// Stops the node gracefully, as SIGTERM would.
@@ -81,7 +81,7 @@
         runtime.shutdown_background();
     }
 
-    /// Ends the node at once.
+    /// Ends the node immediately, like the death of its process.
     pub fn kill(&self) {
         let Some((node, runtime)) = self.take() else { return };
         node.kill();
@@ -89,7 +89,7 @@
     }
 
     fn take(&self) -> Option<(Node, Runtime)> {
-        self.parts.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).take()
+        self.running.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).take()
     }
 }
 
--- a/crates/bench/tests/capacity_page.rs
+++ b/crates/bench/tests/capacity_page.rs
@@ -47,7 +47,7 @@
     let slope = Slope::through("µs", "things", points.to_vec());
     assert_eq!((slope.each, slope.fixed, slope.fit), (0.5, 3.0, 1.0));
     assert_eq!(slope.range(), (1.0, 5.0));
-    assert!(slope.is_beyond(6.0) && !slope.is_beyond(5.0));
+    assert!(slope.is_extrapolated(6.0) && !slope.is_extrapolated(5.0));
 }
 
 #[test]
