--- a/crates/bench/src/soak.rs
+++ b/crates/bench/src/soak.rs
@@ -160,8 +160,8 @@
                 engines[at].switches().set(Faults { frozen: true, ..Faults::default() });
             }
             Fault::Apply => {
-                // During an outage of the key-value service the operator, and so the round, would
-                // wait for its end.
+                // Ends the faults of the key-value service first: during an outage the operator, and
+                // so the round, would wait for its end.
                 environment.set_kv(Faults::default());
                 self.applied += 1;
                 environment.apply(&format!("class-{}", self.applied)).await.map(drop)?;
--- a/crates/bench/src/testbed/mod.rs
+++ b/crates/bench/src/testbed/mod.rs
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    /// Starts all initial servers of a zone again on new VMs.
+    /// Starts all initial servers of a zone again on new VMs, whose names end in `incarnation`.
     ///
     /// The cloud replaces reclaimed VMs in this way once it has capacity again.
     pub async fn replace_zone(&self, zone: &str, incarnation: usize) -> Result<(), TestbedError> {
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    /// Starts a node again on a new VM.
+    /// Starts a node again on a new VM, whose name ends in `incarnation`.
     pub async fn replace_node(&self, at: usize, incarnation: usize) -> Result<(), TestbedError> {
         let vm = VmName::new(format!("vm-entry-{at}-{incarnation}"))?;
         self.start_node(vm, at, self.zone_of(at), &self.options.settings).await.map(drop)
