--- a/crates/bench/src/spread/member.rs
+++ b/crates/bench/src/spread/member.rs
@@ -42,13 +42,8 @@
 
 /// Returns the bytes of a message on the wire.
 pub fn message_bytes(from: &Sender, to: Incarnation, gossip: &Gossip<Member>) -> u64 {
-<<<<<<< HEAD
     let body = GossipMessage { gossip: gossip.clone() };
     REQUEST_HEAD_BYTES + encoded_len(&Envelope { from: from.clone(), to: Some(to), body })
-=======
-    let body = GossipMessage { gossip: gossip.clone() };
-    REQUEST_HEAD + encoded(&Envelope { from: from.clone(), to: Some(to), body })
->>>>>>> part-drest
 }
 
 /// Returns the bytes of a reply on the wire.
