--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -29,13 +29,13 @@
     /// All statuses with the meanings that the help prints, ordered by code.
     pub const ALL: [(ExitStatus, &'static str); 9] = [
         (ExitStatus::Done, "done"),
-        (ExitStatus::Failed, "failed for a reason that no other code tells"),
-        (ExitStatus::Usage, "the arguments were not understood"),
+        (ExitStatus::Failed, "failed for a reason that has no code of its own"),
+        (ExitStatus::Usage, "the arguments are invalid"),
         (ExitStatus::Invalid, "the configuration or settings have problems"),
         (ExitStatus::Conflict, "another revision is in force than expected; nothing was changed"),
         (ExitStatus::Unreachable, "a service or node was not reached; nothing was changed"),
         (ExitStatus::Unknown, "the change may or may not have been made"),
-        (ExitStatus::NotFound, "what was asked for does not exist"),
+        (ExitStatus::NotFound, "the request, node or revision does not exist"),
         (ExitStatus::Different, "the compared configurations differ"),
     ];
 
