--- a/crates/coord/src/chain.rs
+++ b/crates/coord/src/chain.rs
@@ -48,7 +48,7 @@
     Written,
     /// The key had another version; it has this version and value now.
     Conflict(u64, Bytes),
-    /// The call failed; the value tells whether it took effect.
+    /// The call failed; the value states whether it took effect.
     Failed(Ran),
 }
 
@@ -99,7 +99,7 @@
 /// A write whose reply is lost may take effect at any later time, so reading the key proves
 /// nothing. The writer repeats the same compare-and-swap: it takes effect at most once, since the
 /// first to be applied changes the version that both expect. A conflict then proves that neither
-/// can be applied later, and the nonces in the value tell whether one of them was.
+/// can be applied later, and the nonces in the value show whether one of them was.
 #[derive(Debug)]
 pub struct ChainWriter {
     expected: Option<Revision>,
@@ -230,7 +230,7 @@
             }
             ChainRefusal::Forgotten { found } => write!(
                 f,
-                "the reply was lost and revision {found} is too far ahead to tell the outcome; \
+                "the reply was lost and revision {found} is too far ahead to determine the outcome; \
                  compare the history"
             ),
         }
--- a/crates/coord/src/evacuation.rs
+++ b/crates/coord/src/evacuation.rs
@@ -12,7 +12,7 @@
     pub id: RequestId,
     /// The tokens of the prompt and the response that the engine has computed.
     pub tokens: u32,
-    /// How many of them another engine has in its prefix cache anyway.
+    /// How many of them another engine already has in its prefix cache.
     pub cached_elsewhere: u32,
 }
 
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -60,7 +60,7 @@
     Taken(FencingNumber, Holder),
     /// The lease was renewed, or the key removed.
     Done,
-    /// The call failed; the value tells whether it took effect.
+    /// The call failed; the value states whether it took effect.
     Failed(Ran),
 }
 
@@ -265,7 +265,7 @@
     }
 }
 
-/// A `Wanted` tells whether a node should hold a duty.
+/// A `Wanted` states whether a node should hold a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wanted {
     /// It should hold the duty or try to acquire it.
--- a/crates/coord/src/membership.rs
+++ b/crates/coord/src/membership.rs
@@ -56,8 +56,8 @@
     /// them.
     pending: BTreeMap<Incarnation, u32>,
     /// The changed records that are still to be sent to other domains.
-    far_pending: BTreeSet<Incarnation>,
-    next_far_round: Stamp,
+    remote_pending: BTreeSet<Incarnation>,
+    next_remote_round: Stamp,
     /// The consecutive messages with a differing summary of each zone.
     summary_mismatches: BTreeMap<ZoneName, u32>,
     rounds: u64,
@@ -73,8 +73,8 @@
             options,
             roster,
             pending,
-            far_pending: BTreeSet::new(),
-            next_far_round: now,
+            remote_pending: BTreeSet::new(),
+            next_remote_round: now,
             summary_mismatches: BTreeMap::new(),
             rounds: 0,
             next_round: now,
@@ -281,8 +281,8 @@
         let records = self.take_pending();
         let own_summary = self.own_summary();
         let mut zones: Vec<ZoneSummary> = own_summary.iter().cloned().collect();
-        for far in self.roster.far_zones() {
-            zones.push(self.roster.summary_of(&far));
+        for remote_zone in self.roster.remote_zones() {
+            zones.push(self.roster.summary_of(&remote_zone));
         }
         let gossip = Gossip {
             records: records.clone(),
@@ -294,20 +294,20 @@
         for to in self.roster.domain().sample(random, self.options.fanout) {
             sends.push(Outgoing { to: *to, gossip: gossip.clone() });
         }
-        self.far_pending.extend(records.into_iter().map(|record| record.incarnation));
-        let is_far_due = self.next_far_round <= self.roster.now;
-        if !is_far_due || self.roster.is_flat() {
+        self.remote_pending.extend(records.into_iter().map(|record| record.incarnation));
+        let is_remote_round_due = self.next_remote_round <= self.roster.now;
+        if !is_remote_round_due || self.roster.is_flat() {
             return sends;
         }
-        self.next_far_round =
-            self.roster.now + self.roster.far_period().mul_f64(random.random_range(0.9..1.1));
-        let records = self.take_far_pending();
+        self.next_remote_round =
+            self.roster.now + self.roster.remote_period().mul_f64(random.random_range(0.9..1.1));
+        let records = self.take_remote_pending();
         if !self.roster.relays_of(&zone).contains(&self.roster.own) {
             return sends;
         }
         let zones = own_summary.into_iter().collect();
         let gossip = Gossip { records, zones, ..Gossip::default() };
-        for to in self.far_relays(random) {
+        for to in self.remote_relays(random) {
             sends.push(Outgoing { to, gossip: gossip.clone() });
         }
         sends
@@ -339,8 +339,8 @@
     }
 
     // Only records of the own domain are sent to other domains: each domain advertises its own.
-    fn take_far_pending(&mut self) -> Vec<Record<V>> {
-        let pending = std::mem::take(&mut self.far_pending);
+    fn take_remote_pending(&mut self) -> Vec<Record<V>> {
+        let pending = std::mem::take(&mut self.remote_pending);
         let zone = &self.own().zone;
         let records = pending.iter().filter_map(|incarnation| self.record(*incarnation));
         records.filter(|record| record.zone == *zone).take(MAX_RECORDS_PER_ROUND).cloned().collect()
@@ -357,7 +357,7 @@
         if !self.roster.is_flat() {
             let relays = self.roster.relays_of(&self.own().zone);
             if relays.contains(&self.roster.own) {
-                to.extend(self.far_relays(random));
+                to.extend(self.remote_relays(random));
             }
             to.extend(relays);
             to.remove(&self.roster.own);
@@ -365,16 +365,16 @@
         to.into_iter().map(|to| Outgoing { to, gossip: gossip.clone() }).collect()
     }
 
-    // Returns one relay of each far zone, or any member of a zone whose members are all suspected:
-    // otherwise that zone would stay unreachable after a partition between regions has healed.
-    fn far_relays(&self, random: &mut dyn Rng) -> Vec<Incarnation> {
-        let mut far = Vec::new();
-        for zone in self.roster.far_zones() {
+    // Returns one relay of each remote zone, or any member of a zone whose members are all
+    // suspected: otherwise that zone would stay unreachable after a partition between regions has healed.
+    fn remote_relays(&self, random: &mut dyn Rng) -> Vec<Incarnation> {
+        let mut recipients = Vec::new();
+        for zone in self.roster.remote_zones() {
             let relays = self.roster.relays_of(&zone);
             let candidates =
                 if relays.is_empty() { self.roster.live_in_zone(&zone) } else { relays };
-            far.extend(candidates.into_iter().choose(random));
+            recipients.extend(candidates.into_iter().choose(random));
         }
-        far
+        recipients
     }
 }
--- a/crates/coord/src/membership_options.rs
+++ b/crates/coord/src/membership_options.rs
@@ -12,11 +12,11 @@
     /// What each member of a domain adds to the time between two rounds.
     pub period_per_member: Duration,
     /// The minimum time between two messages of a relay to another domain.
-    pub min_far_period: Duration,
+    pub min_remote_period: Duration,
     /// The maximum time between two messages of a relay to another domain.
-    pub max_far_period: Duration,
+    pub max_remote_period: Duration,
     /// What each domain adds to the time between two messages of a relay to another one.
-    pub far_period_per_zone: Duration,
+    pub remote_period_per_zone: Duration,
     /// The number of members of the domain that receive the messages of one round.
     pub fanout: usize,
     /// The number of members of the domain that receive at once that a node is leaving.
@@ -41,9 +41,9 @@
             min_period: Duration::from_millis(250),
             max_period: Duration::from_secs(1),
             period_per_member: Duration::from_millis(50),
-            min_far_period: Duration::from_millis(400),
-            max_far_period: Duration::from_secs(2),
-            far_period_per_zone: Duration::from_millis(150),
+            min_remote_period: Duration::from_millis(400),
+            max_remote_period: Duration::from_secs(2),
+            remote_period_per_zone: Duration::from_millis(150),
             fanout: 2,
             urgent_fanout: 7,
             relays_per_zone: 2,
@@ -65,10 +65,10 @@
     }
 
     /// Returns the time between two messages of a relay to another domain if there are `zones`.
-    pub fn far_period(&self, zones: usize) -> Duration {
+    pub fn remote_period(&self, zones: usize) -> Duration {
         let zones = u32::try_from(zones).unwrap_or(u32::MAX);
-        let grown = self.far_period_per_zone.saturating_mul(zones);
-        grown.clamp(self.min_far_period, self.max_far_period)
+        let grown = self.remote_period_per_zone.saturating_mul(zones);
+        grown.clamp(self.min_remote_period, self.max_remote_period)
     }
 
     /// Returns whether all nodes form one domain at any number of nodes.
--- a/crates/coord/src/notices.rs
+++ b/crates/coord/src/notices.rs
@@ -1,4 +1,4 @@
-//! The VMs that are leaving, from notices, the lagging list and other nodes, whichever is first.
+//! The VMs that are leaving, as first reported by a notice, the lagging list of VMs or another node.
 
 use std::collections::BTreeMap;
 
--- a/crates/coord/src/ownership/machine.rs
+++ b/crates/coord/src/ownership/machine.rs
@@ -20,7 +20,7 @@
 pub enum Action {
     /// Send a message to an incarnation of a node.
     Send(Incarnation, Message),
-    /// Tell the caller that the request is accepted.
+    /// Notify the caller that the request is accepted.
     Accepted(RequestId, CopyLocation),
     /// Run the request and continue after the given tokens; this node owns it now.
     Start {
--- a/crates/coord/src/ownership/options.rs
+++ b/crates/coord/src/ownership/options.rs
@@ -26,7 +26,7 @@
     pub tombstone_retention: Duration,
     /// How many times a new owner sends its claim.
     pub claim_rounds: u8,
-    /// The number of peers that receive a claim, besides the previous owner.
+    /// The number of peers that receive a claim, in addition to the previous owner.
     pub claim_fanout: usize,
 }
 
--- a/crates/coord/src/ownership/state.rs
+++ b/crates/coord/src/ownership/state.rs
@@ -45,12 +45,12 @@
     pub(super) last_claim: Stamp,
 }
 
-/// A `Stage` tells whether an owned request has been copied.
+/// A `Stage` states whether an owned request has been copied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// The first copy has not been acknowledged yet.
     Copying,
-    /// A peer has a copy, or the owner goes on without one.
+    /// A peer has a copy, or the owner continues without one.
     Settled,
 }
 
--- a/crates/coord/src/ownership/sweep.rs
+++ b/crates/coord/src/ownership/sweep.rs
@@ -14,11 +14,11 @@
         match self.requests.get_mut(&id) {
             Some(State::Owned(owned)) => {
                 let has_other = self.peers.best_holder(id, &[]).is_some();
-                let lost = owned.holder.as_ref().is_some_and(|it| {
+                let is_lost = owned.holder.as_ref().is_some_and(|it| {
                     !self.peers.contains(it.peer) || has_other && self.peers.is_leaving(it.peer)
                 });
                 let can_choose = owned.holder.is_none() && !self.peers.live.is_empty();
-                if owned.handover.is_none() && (lost || can_choose) {
+                if owned.handover.is_none() && (is_lost || can_choose) {
                     owned.failed_holders.clear();
                     self.choose_holder(now, id, out);
                 }
@@ -61,7 +61,7 @@
         self.take_ownership(now, id, version, body, tokens, Some(previous_owner), out);
     }
 
-    // The owner may fail after its holder has been told to leave and before it has copied the
+    // The owner may fail after its holder has been asked to leave and before it has copied the
     // request to another peer. Once the holder has left, no node would have the request and its
     // caller would get no response. A leaving holder therefore passes on the copies that owners
     // have left with it.
--- a/crates/coord/src/relays.rs
+++ b/crates/coord/src/relays.rs
@@ -6,7 +6,7 @@
 use bulrushhall_core::{NodeName, ZoneName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// `RelayOptions` tell when and how updates are exchanged through relays.
+/// `RelayOptions` determine when and how updates are exchanged through relays.
 #[derive(Clone, Debug)]
 pub struct RelayOptions {
     /// The upper bound of the nodes that all exchange updates with each other directly.
@@ -61,9 +61,9 @@
     /// Its role.
     pub role: Role,
     /// The relays of its own zone, without itself.
-    pub near: Vec<NodeName>,
+    pub same_zone: Vec<NodeName>,
     /// The relays of all other zones; empty unless the node is a relay.
-    pub far: Vec<NodeName>,
+    pub other_zones: Vec<NodeName>,
     /// The node that becomes the next relay of its zone; none if that is this node.
     ///
     /// It keeps a copy of what must outlive the relay: otherwise the counts of nodes that have
@@ -74,7 +74,7 @@
 impl RelayPlan {
     /// Returns whether a node is one of the relays with which this one exchanges updates.
     pub fn includes(&self, node: &NodeName) -> bool {
-        self.near.contains(node) || self.far.contains(node)
+        self.same_zone.contains(node) || self.other_zones.contains(node)
     }
 }
 
@@ -111,9 +111,9 @@
                 if node == own.node {
                     plan.role = Role::Relay;
                 } else if zone == own.zone {
-                    plan.near.push(node.clone());
+                    plan.same_zone.push(node.clone());
                 } else {
-                    plan.far.push(node.clone());
+                    plan.other_zones.push(node.clone());
                 }
             }
         }
@@ -121,7 +121,7 @@
             plan.role = Role::Relay;
         }
         if plan.role != Role::Relay {
-            plan.far.clear();
+            plan.other_zones.clear();
         }
         plan
     }
@@ -152,7 +152,7 @@
     }
 }
 
-/// A `RelayRequested` tells whether another node considers this one a relay.
+/// A `RelayRequested` states whether another node considers this one a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayRequested {
     /// Another node has sent it updates as to a relay recently.
--- a/crates/coord/src/roster.rs
+++ b/crates/coord/src/roster.rs
@@ -77,8 +77,8 @@
         self.period
     }
 
-    pub(crate) fn far_period(&self) -> Duration {
-        self.options.far_period(self.zones.len())
+    pub(crate) fn remote_period(&self) -> Duration {
+        self.options.remote_period(self.zones.len())
     }
 
     pub(crate) fn is_flat(&self) -> bool {
@@ -113,8 +113,8 @@
         self.zones.values_mut().for_each(|zone| zone.last_received = now);
     }
 
-    // A node that was paused has received nothing meanwhile. It must not consider the others dead,
-    // so the duration of the pause is not counted as their silence.
+    // A node that was paused has received nothing during the pause. It must not consider the others
+    // dead, so the duration of the pause is not counted as their silence.
     fn discount_pause(&mut self, now: Stamp) {
         let gap = now.since(self.now);
         if gap <= self.period.saturating_mul(3) {
@@ -125,7 +125,7 @@
     }
 
     /// Returns whether members of a zone are tracked by their own heartbeats.
-    pub(crate) fn is_near(&self, zone: &ZoneName) -> bool {
+    pub(crate) fn is_in_domain(&self, zone: &ZoneName) -> bool {
         self.is_flat || *zone == self.known[&self.own].record.zone
     }
 
@@ -137,30 +137,31 @@
         if known.removed_at.is_some() {
             return false;
         }
-        self.is_near(&known.record.zone) || !self.is_silent_for(known, self.options.dead_rounds)
+        self.is_in_domain(&known.record.zone)
+            || !self.is_silent_for(known, self.options.dead_rounds)
     }
 
-    // Relays of a far zone send once in a far period; their messages then take rounds of this zone
-    // to arrive here.
+    // Relays of a remote zone send one message per remote period; its content then takes rounds of
+    // this zone to arrive here.
     fn is_silent_for(&self, known: &KnownMember<V>, rounds: u32) -> bool {
         if known.record.incarnation == self.own {
             return false;
         }
-        if self.is_near(&known.record.zone) {
+        if self.is_in_domain(&known.record.zone) {
             return self.period.saturating_mul(rounds) < self.now.since(known.last_received);
         }
         let Some(zone) = self.zones.get(&known.record.zone) else { return false };
-        let round = self.period + self.far_period();
+        let round = self.period + self.remote_period();
         round.saturating_mul(rounds) < self.now.since(zone.last_received)
     }
 
-    /// Removes near members that have been silent for too long; returns them.
+    /// Removes members of the domain that have been silent for too long; returns them.
     ///
     /// A member is removed only by its own domain; other domains receive that in its record.
     pub(crate) fn remove_silent(&mut self) -> Vec<Incarnation> {
         let mut silent = Vec::new();
         for (incarnation, known) in &self.known {
-            let is_tracked = known.removed_at.is_none() && self.is_near(&known.record.zone);
+            let is_tracked = known.removed_at.is_none() && self.is_in_domain(&known.record.zone);
             if is_tracked && self.is_silent_for(known, self.options.dead_rounds) {
                 silent.push(*incarnation);
             }
@@ -258,12 +259,12 @@
 
     /// Returns the other members of the domain.
     pub(crate) fn domain(&self) -> Vec<Incarnation> {
-        let near = self.known.values().filter(|known| {
+        let members = self.known.values().filter(|known| {
             known.removed_at.is_none()
                 && known.record.incarnation != self.own
-                && self.is_near(&known.record.zone)
+                && self.is_in_domain(&known.record.zone)
         });
-        near.map(|known| known.record.incarnation).collect()
+        members.map(|known| known.record.incarnation).collect()
     }
 
     /// Returns the relays of a zone: the first by hash that are not suspected.
@@ -294,16 +295,16 @@
         known.map(|known| known.record.incarnation).collect()
     }
 
-    pub(crate) fn far_zones(&self) -> Vec<ZoneName> {
-        self.zones.keys().filter(|zone| !self.is_near(zone)).cloned().collect()
+    pub(crate) fn remote_zones(&self) -> Vec<ZoneName> {
+        self.zones.keys().filter(|zone| !self.is_in_domain(zone)).cloned().collect()
     }
 
     /// Returns the heartbeats of the domain.
     pub(crate) fn heartbeats(&self) -> Vec<Heartbeat> {
-        let near = self.known.values();
-        let near =
-            near.filter(|known| known.removed_at.is_none() && self.is_near(&known.record.zone));
-        near.map(|known| known.version(known.beat)).collect()
+        let members = self.known.values();
+        let members = members
+            .filter(|known| known.removed_at.is_none() && self.is_in_domain(&known.record.zone));
+        members.map(|known| known.version(known.beat)).collect()
     }
 
     /// Returns the versions of a zone's records.
--- a/crates/coord/src/update_sources.rs
+++ b/crates/coord/src/update_sources.rs
@@ -27,7 +27,7 @@
     last_received: Stamp,
 }
 
-/// A `SourceChoice` tells whether the updates of a relay are accepted.
+/// A `SourceChoice` states whether the updates of a relay are accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceChoice {
     /// They are ignored: those of another relay, which cover the same nodes, are accepted.
--- a/crates/coord/src/usage.rs
+++ b/crates/coord/src/usage.rs
@@ -82,7 +82,7 @@
     Others,
 }
 
-/// A `WindowSelection` tells which windows are reported.
+/// A `WindowSelection` determines which windows are reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WindowSelection {
     /// The newest ones, whose counts may still change.
--- a/crates/coord/tests/relay_plan.rs
+++ b/crates/coord/tests/relay_plan.rs
@@ -53,7 +53,8 @@
 #[case(340, 10)]
 fn messages_of_all(#[case] nodes: usize, #[case] zones: usize) {
     let plans = Fleet::new(nodes, zones).plans();
-    let pairs: usize = plans.values().map(|plan| plan.near.len() + plan.far.len()).sum();
+    let pairs: usize =
+        plans.values().map(|plan| plan.same_zone.len() + plan.other_zones.len()).sum();
     let relays = RELAYS * zones;
     assert!(pairs <= RELAYS * nodes + relays * relays, "{pairs} pairs");
     assert_eq!(plans.values().filter(|plan| plan.role == Role::Relay).count(), relays);
@@ -65,7 +66,7 @@
     let plans = fleet.plans();
     for (node, zone) in &fleet.nodes {
         let plan = &plans[node];
-        for relay in plan.near.iter().chain(&plan.far) {
+        for relay in plan.same_zone.iter().chain(&plan.other_zones) {
             assert_eq!(plans[relay].role, Role::Relay, "{node} of {zone} contacts {relay}");
         }
     }
@@ -79,12 +80,12 @@
     let plans = fleet.plans();
     let member = fleet.nodes.iter().position(|(node, _)| plans[node].role == Role::Member);
     let member = member.expect("a member");
-    fleet.silent = plans[&fleet.nodes[member].0].near.iter().cloned().collect();
+    fleet.silent = plans[&fleet.nodes[member].0].same_zone.iter().cloned().collect();
     let plan = fleet.plan(member);
-    let responsive = plan.near.iter().filter(|node| !fleet.silent.contains(*node)).count();
+    let responsive = plan.same_zone.iter().filter(|node| !fleet.silent.contains(*node)).count();
     let is_relay = usize::from(plan.role == Role::Relay);
     assert_eq!(responsive + is_relay, RELAYS);
-    assert!(fleet.silent.iter().all(|node| plan.near.contains(node)));
+    assert!(fleet.silent.iter().all(|node| plan.same_zone.contains(node)));
 }
 
 // Guards against losing the counts of nodes that have ended with the only relay that knew them.
@@ -120,7 +121,7 @@
         let own = others.remove(at);
         let plan = RelayOptions::default().plan(own, others, RelayRequested::Yes);
         assert_eq!(plan.role, Role::Relay);
-        assert!(!plan.far.is_empty());
+        assert!(!plan.other_zones.is_empty());
     }
 }
 
--- a/crates/core/src/config/ini.rs
+++ b/crates/core/src/config/ini.rs
@@ -83,7 +83,7 @@
             continue;
         }
         if let Some(first) = seen.insert((&section.kind, &section.name), section.line) {
-            let message = format!("{} stands twice, first in line {first}", section.header());
+            let message = format!("{} is defined twice, first in line {first}", section.header());
             problems.push(Problem::new(file, section.line, message).hint("remove one of them"));
         }
     }
--- a/crates/core/tests/config_problems.rs
+++ b/crates/core/tests/config_problems.rs
@@ -88,7 +88,7 @@
 #[case::unknown_section("[clas patient]\n", 1, "unknown section", "[class]")]
 #[case::no_name("[team]\n", 1, "name of a team", "[team NAME]")]
 #[case::bad_name("[team a/b]\n", 1, "name of a team", "[team NAME]")]
-#[case::duplicate_section("[team workshop]\n", 1, "stands twice", "remove")]
+#[case::duplicate_section("[team workshop]\n", 1, "is defined twice", "remove")]
 #[case::duplicate_key("[team archive]\nshare = 1\nshare = 2\n", 3, "set twice", "remove")]
 #[case::service("[model m]\nservice = patern-desk\n", 2, "missing", "pattern-desk")]
 #[case::no_service("[model m]\n", 1, "unset", "add a section")]
--- a/crates/gateway/src/cluster/gossip.rs
+++ b/crates/gateway/src/cluster/gossip.rs
@@ -75,10 +75,10 @@
 /// Exchanges digests with other nodes forever.
 ///
 /// Up to a number of nodes, each node exchanges digests with all others; above it they go through relays.
-/// Of two nodes the one with the lower name initiates the exchange, which updates both. A node that lost
-/// the key-value service initiates more exchanges, because only replies tell it how old its configuration
-/// is. A node without a record in the service is contacted by all nodes that know it, or by the relay of
-/// its zone.
+/// Of two nodes the one with the lower name initiates the exchange, which updates both. A node that can't
+/// reach the key-value service initiates more exchanges, because it learns the age of its configuration
+/// only from replies. A node without a record in the service is contacted by all nodes that know it, or
+/// by the relay of its zone.
 pub async fn gossip(gateway: Arc<Gateway>) {
     let mut endpoints: HashMap<SocketAddr, Arc<Endpoint>> = HashMap::new();
     loop {
@@ -192,11 +192,11 @@
         let mut exchanges = Vec::new();
         for (node, member) in state.members.iter() {
             let is_same_zone = member.record.zone == own.zone;
-            if !is_relay && state.relays.near.contains(node) {
+            if !is_relay && state.relays.same_zone.contains(node) {
                 exchanges.push(exchange_with(node, member, DigestScope::Own, DigestScope::Others));
-            } else if state.relays.near.contains(node) && self.initiates(node, member) {
+            } else if state.relays.same_zone.contains(node) && self.initiates(node, member) {
                 exchanges.push(exchange_with(node, member, DigestScope::Own, DigestScope::Own));
-            } else if state.relays.far.contains(node) && self.initiates(node, member) {
+            } else if state.relays.other_zones.contains(node) && self.initiates(node, member) {
                 exchanges.push(exchange_with(node, member, DigestScope::Zone, DigestScope::Zone));
             } else if is_relay && is_same_zone && !member.listed {
                 // It may not know any relay.
--- a/crates/policy/src/admission/fair_queue.rs
+++ b/crates/policy/src/admission/fair_queue.rs
@@ -9,7 +9,7 @@
 /// A `FairQueue` divides the service of one priority among the teams with waiting requests.
 ///
 /// The virtual time of a team advances by the tokens of each request that it starts, divided by its
-/// share. The team with the lowest virtual time goes next. A team that had no waiting requests
+/// share. The team with the lowest virtual time is served next. A team that had no waiting requests
 /// continues from the current virtual time, so that it can't accumulate service while idle and then
 /// starve the others.
 #[derive(Clone, Debug, Default)]
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Removes and returns the request that goes next.
+    /// Removes and returns the request that starts next.
     pub fn pop(&mut self, shares: &BTreeMap<TeamName, u32>) -> Option<(Ticket, AdmissionRequest)> {
         let waiting = self.teams.iter_mut().filter(|(_, team)| !team.requests.is_empty());
         let (name, team) = waiting
--- a/crates/policy/src/admission/machine.rs
+++ b/crates/policy/src/admission/machine.rs
@@ -148,24 +148,24 @@
                 false => queue.tokens_before(&req.team, req.tokens, &self.shares),
             };
         }
-        let free = self.running_up_to(req.priority) < self.capacity_for(req.priority);
-        let queued = if free && before == 0.0 {
+        let has_free_slot = self.running_up_to(req.priority) < self.capacity_for(req.priority);
+        let queued = if has_free_slot && before == 0.0 {
             Duration::ZERO
         } else {
             self.rate.time_for(before + f64::from(req.tokens) / 2.0, self.capacity)
         };
-        let interactive = req.priority <= self.options.interactive_priority;
+        let is_interactive = req.priority <= self.options.interactive_priority;
         // Without any engine, background requests are still queued, since engines will return.
-        if !interactive && self.capacity == 0 {
+        if !is_interactive && self.capacity == 0 {
             return None;
         }
-        let allowed = if interactive {
+        let max_wait = if is_interactive {
             req.first_token_by.since(now).mul_f64(self.options.max_wait_share)
         } else {
             let run = self.rate.time_for(f64::from(req.tokens), 1);
             req.deadline.since(now).saturating_sub(run)
         };
-        (allowed < queued).then(|| queued - allowed)
+        (max_wait < queued).then(|| queued - max_wait)
     }
 
     // Callers that are refused together and retry together would be refused together again, so
--- a/crates/policy/src/copy_source.rs
+++ b/crates/policy/src/copy_source.rs
@@ -7,8 +7,8 @@
 /// The minimum number of tokens that are worth a copy: an engine computes fewer within the 5 to 10
 /// ms that the setup of a copy takes.
 pub const MIN_COPIED_TOKENS: u32 = 512;
-/// The failure rate at which an engine is no source: the copy would probably fail too, and the
-/// prompt would be computed after a wasted wait.
+/// The failure rate at which an engine is not used as a source: the copy would probably fail too,
+/// and the prompt would be computed after a wasted wait.
 const MAX_FAILURE_RATE: f64 = 0.2;
 
 /// A `SourceView` is the view that a node has of an engine that may be copied from.
--- a/crates/policy/src/engine_choice.rs
+++ b/crates/policy/src/engine_choice.rs
@@ -22,11 +22,11 @@
 /// The maximum random jitter of a score, in milliseconds; it keeps nodes from making identical
 /// choices.
 const JITTER_MS: f64 = 3.0;
-/// The number of event gaps by whose increase per running request a first token is penalized: a
-/// fuller batch is slower for all its requests, and these have prompts to compute too.
+/// The penalty for each running request, as a multiple of the increase of the event gap that it
+/// causes: a fuller batch is slower for all its requests, and these have prompts to compute too.
 const CONTENTION_EVENTS: f64 = 3.0;
-/// The weight of the slowdown of the answer's own events relative to its first token: a long answer
-/// spends more of its time in the batch than before it.
+/// The weight of the slowdown of the answer's own events relative to that of its first token: a long
+/// answer spends more time in the batch than waiting for it.
 const ANSWER_CONTENTION_WEIGHT: f64 = 0.08;
 /// The penalty for a failure rate of 1, in milliseconds: about one lost attempt.
 const FAILURE_PENALTY_MS: f64 = 1_500.0;
--- a/crates/policy/src/fleet/backoff.rs
+++ b/crates/policy/src/fleet/backoff.rs
@@ -42,7 +42,7 @@
     }
 
     /// Records a successful purchase, which resets the backoff.
-    pub fn sold(&mut self, place: &Place) {
+    pub fn purchased(&mut self, place: &Place) {
         self.places.remove(place);
     }
 }
--- a/crates/policy/src/fleet/planner.rs
+++ b/crates/policy/src/fleet/planner.rs
@@ -1,4 +1,5 @@
-//! The state machine that keeps the capacity of each service at its need for the lowest price.
+//! The state machine that buys and releases VMs so that each service has the capacity that it needs
+//! at the lowest price.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -131,7 +132,7 @@
             return;
         }
         slot.state = SlotState::Bought(vm);
-        self.backoff.sold(&slot.place);
+        self.backoff.purchased(&slot.place);
         self.purchase_attempts.remove(&id.number);
     }
 
--- a/crates/policy/src/fleet_counts/planner.rs
+++ b/crates/policy/src/fleet_counts/planner.rs
@@ -130,7 +130,7 @@
         self.needed.unwrap_or(0.0)
     }
 
-    /// Records that an order was refused, so none are available in its zone and market for now.
+    /// Records that an order was refused, so no servers are available in its zone and market for now.
     pub fn refused(&mut self, now: Stamp, order: &CountOrder) {
         let key = (order.zone.clone(), order.market);
         let Some(last_order) = self.orders.get_mut(&key) else { return };
@@ -223,7 +223,8 @@
             remainder -= extra;
             targets.insert(zone.clone(), (per_zone + extra).clamp(limits.min, limits.max));
         }
-        // Servers released while none are available would be replaced by far more expensive ones.
+        // Reclaimable servers released while no new ones are available would be replaced by far more
+        // expensive on-demand ones.
         if self.is_scarce(input) {
             for (zone, target) in &mut targets {
                 let present = input.servers.get(zone).map_or(0, |servers| servers.reclaimable);
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -209,7 +209,7 @@
         Ok(())
     }
 
-    /// Returns the amount of a request that did not run to the bucket.
+    /// Returns an amount to the bucket, for a request that did not run.
     pub fn refund(&mut self, amount: f64) {
         self.local_total -= amount;
         self.level = self.level.map(|level| level + amount);
--- a/crates/policy/src/server_choice.rs
+++ b/crates/policy/src/server_choice.rs
@@ -7,8 +7,8 @@
 
 use crate::placement::WorkerKey;
 
-/// The penalty for a failure rate of 1, in call times: the attempt has to be repeated, mostly after
-/// a timeout.
+/// The penalty for a failure rate of 1, as a multiple of the duration of a call: a failed attempt has
+/// to be repeated, mostly after a timeout.
 const FAILURE_PENALTY_CALLS: f64 = 12.0;
 /// The maximum random jitter of a score, in milliseconds; it keeps nodes from making identical
 /// choices.
--- a/crates/policy/src/team_limits.rs
+++ b/crates/policy/src/team_limits.rs
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    /// Returns what an admitted request took that was refused afterwards.
+    /// Undoes [`TeamLimiter::admit`] for a request that was refused afterwards.
     pub fn refund(&mut self, team: &TeamName, tokens: u32) {
         let Some(state) = self.teams.get_mut(team) else { return };
         state.concurrent = state.concurrent.saturating_sub(1);
