--- a/crates/gateway/src/backends/backend.rs
+++ b/crates/gateway/src/backends/backend.rs
@@ -16,7 +16,8 @@
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The weight of a sample in the moving average of the slowness.
 const SLOWNESS_WEIGHT: f64 = 0.1;
-/// The bounds of one sample: unpredicted queueing is no property of the server.
+/// The bounds of one sample: an outlier, for example from unpredicted queueing, is not a property of the
+/// server.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 3.0);
 
 /// A `Backend` is one incarnation of a backend server.
--- a/crates/gateway/src/cluster/backends.rs
+++ b/crates/gateway/src/cluster/backends.rs
@@ -49,7 +49,7 @@
         match self.gateway.platform.records.read_backend(value) {
             Ok(record) => self.gateway.with(|state| state.backends.upsert(name, record)),
             Err(error) => {
-                // A malformed record was written by something else and names no usable server.
+                // A malformed record was written by another program and identifies no usable server.
                 tracing::warn!(event = Event::RecordIgnored.number(), backend = name, ?error);
                 self.gateway.with(|state| state.backends.remove(name));
                 return None;
@@ -68,23 +68,23 @@
         self.gateway.with(|state| state.relayed_update_count)
     }
 
-    fn relayed(&self) {
-        // Records that come from a relay are no independent evidence of the key-value service's state.
+    fn note_relayed(&self) {
+        // Records that come from a relay are not independent evidence of the key-value service's state.
         self.gateway.with(|state| state.records_steady_since = None);
     }
 
-    fn regained(&self, now: Stamp) {
+    fn note_recovered(&self, now: Stamp) {
         let mut recovered_at =
             self.recovered_at.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         *recovered_at = Some(now);
         self.gateway.with(|state| state.records_steady_since = Some(now));
     }
 
-    fn lost(&self) {
+    fn note_outage(&self) {
         self.gateway.with(|state| state.records_steady_since = None);
     }
 
-    fn listed(&self, _requested_at: Stamp, changes: Vec<Change>) {
+    fn apply_list(&self, _requested_at: Stamp, changes: Vec<Change>) {
         let listed: BTreeSet<String> =
             changes.iter().filter_map(|change| self.apply(change)).collect();
         let recovered_at = self.recovered_at();
@@ -95,7 +95,7 @@
         });
     }
 
-    fn changed(&self, _known_at: Stamp, changes: Vec<Change>) {
+    fn apply_changes(&self, _known_at: Stamp, changes: Vec<Change>) {
         for change in &changes {
             self.apply(change);
         }
--- a/crates/gateway/src/cluster/config.rs
+++ b/crates/gateway/src/cluster/config.rs
@@ -76,23 +76,23 @@
         self.gateway.with(|state| state.is_config_relayed(clock::now(), own))
     }
 
-    fn relayed(&self) {
+    fn note_relayed(&self) {
         self.gateway.with(|state| state.config_lost = false);
     }
 
-    fn regained(&self, _now: Stamp) {
+    fn note_recovered(&self, _now: Stamp) {
         self.gateway.with(|state| state.config_lost = false);
     }
 
-    fn lost(&self) {
+    fn note_outage(&self) {
         self.gateway.with(|state| state.config_lost = true);
     }
 
-    fn listed(&self, requested_at: Stamp, changes: Vec<Change>) {
+    fn apply_list(&self, requested_at: Stamp, changes: Vec<Change>) {
         self.apply(requested_at, changes);
     }
 
-    fn changed(&self, known_at: Stamp, changes: Vec<Change>) {
+    fn apply_changes(&self, known_at: Stamp, changes: Vec<Change>) {
         self.apply(known_at, changes);
     }
 }
--- a/crates/gateway/src/cluster/follow.rs
+++ b/crates/gateway/src/cluster/follow.rs
@@ -32,7 +32,7 @@
     }
 
     /// Notes that relays supply what is followed.
-    fn relayed(&self) {}
+    fn note_relayed(&self) {}
 
     /// Returns the number of updates that relays have supplied.
     fn relayed_update_count(&self) -> u64 {
@@ -40,16 +40,16 @@
     }
 
     /// Notes that the service responds again after failed calls.
-    fn regained(&self, _now: Stamp) {}
+    fn note_recovered(&self, _now: Stamp) {}
 
     /// Notes that the service does not respond.
-    fn lost(&self) {}
+    fn note_outage(&self) {}
 
     /// Applies a list of all keys, as they were at some moment after `requested_at`.
-    fn listed(&self, requested_at: Stamp, changes: Vec<Change>);
+    fn apply_list(&self, requested_at: Stamp, changes: Vec<Change>);
 
     /// Applies changes; nothing else changed up to `known_at`.
-    fn changed(&self, known_at: Stamp, changes: Vec<Change>);
+    fn apply_changes(&self, known_at: Stamp, changes: Vec<Change>);
 }
 
 /// Follows the keys below `prefix` forever, with watches of the duration `wait`.
@@ -65,7 +65,7 @@
     let mut relayed_update_count = 0;
     loop {
         if follower.is_relayed() {
-            follower.relayed();
+            follower.note_relayed();
             (version, failures) = (None, 0);
             sleep(RELAYED_CHECK_INTERVAL).await;
             continue;
@@ -97,16 +97,16 @@
             Ok(found) => {
                 if 0 < failures {
                     tracing::info!(event = Event::DependencyRegained.number(), prefix, failures);
-                    follower.regained(clock::now());
+                    follower.note_recovered(clock::now());
                 }
                 let earlier_failures = std::mem::take(&mut failures);
                 let first = version.is_none();
                 version = Some(found.version);
                 if first {
-                    follower.listed(requested_at, found.changes);
+                    follower.apply_list(requested_at, found.changes);
                 } else {
                     let waited = wait_after(earlier_failures, wait);
-                    follower.changed(known_at(requested_at, waited, &found), found.changes);
+                    follower.apply_changes(known_at(requested_at, waited, &found), found.changes);
                 }
             }
             Err(error) if error.fault == (CallFault::Refused { status: HISTORY_GONE }) => {
@@ -118,7 +118,7 @@
                 if failures == 0 {
                     tracing::warn!(event = Event::DependencyLost.number(), prefix, %error);
                     meters::dependency_lost(prefix);
-                    follower.lost();
+                    follower.note_outage();
                 }
                 failures += 1;
                 sleep(pause(failures)).await;
--- a/crates/gateway/src/cluster/members.rs
+++ b/crates/gateway/src/cluster/members.rs
@@ -113,9 +113,9 @@
         self.last_direct.is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT)
     }
 
-    /// Returns whether its reply has been pending for `longest` or longer.
-    pub fn is_silent(&self, now: Stamp, longest: Duration) -> bool {
-        self.unanswered_since.is_some_and(|since| longest <= now.since(since))
+    /// Returns whether its reply has been pending for `timeout` or longer.
+    pub fn is_silent(&self, now: Stamp, timeout: Duration) -> bool {
+        self.unanswered_since.is_some_and(|since| timeout <= now.since(since))
     }
 }
 
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -131,12 +131,12 @@
         self.gateway.with(|state| state.relayed_update_count)
     }
 
-    fn relayed(&self) {
+    fn note_relayed(&self) {
         // Relays do not report the holder of the duties.
         self.gateway.with(|state| state.members.duty_free_since = None);
     }
 
-    fn listed(&self, _requested_at: Stamp, changes: Vec<Change>) {
+    fn apply_list(&self, _requested_at: Stamp, changes: Vec<Change>) {
         self.note_duty(changes.iter().any(|change| change.key == DUTY_KEY));
         let listed: BTreeSet<NodeName> =
             changes.iter().filter_map(|change| self.apply(change)).collect();
@@ -147,7 +147,7 @@
         });
     }
 
-    fn changed(&self, _known_at: Stamp, changes: Vec<Change>) {
+    fn apply_changes(&self, _known_at: Stamp, changes: Vec<Change>) {
         for change in &changes {
             self.apply(change);
         }
--- a/crates/gateway/src/cluster/receive.rs
+++ b/crates/gateway/src/cluster/receive.rs
@@ -19,7 +19,7 @@
 /// that the key-value service had no outage: twice the time in which expired records are rewritten.
 const MIN_STEADY: Duration = Duration::from_secs(4);
 /// The head start of the key-value service over other nodes in the delivery of a newer configuration,
-/// besides the transfer time.
+/// in addition to the transfer time.
 const KEY_VALUE_HEAD_START: Duration = Duration::from_millis(500);
 /// The bytes of a configuration for which the key-value service gets another second.
 const KEY_VALUE_BYTES_PER_S: f64 = 1_000_000.0;
@@ -167,7 +167,7 @@
             return;
         }
         // A late reply may hold older records than those known.
-        let fits = match state.relay_cursor(self.now) {
+        let is_continuation = match state.relay_cursor(self.now) {
             None => backends.after == 0 && members.after == 0,
             Some(cursor) => {
                 let continues = |after, known, at| after <= known && known <= at;
@@ -176,7 +176,7 @@
                     && continues(members.after, cursor.members, members.at)
             }
         };
-        if !fits {
+        if !is_continuation {
             return;
         }
         let relay = digest.incarnation;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -52,7 +52,7 @@
 pub enum Phase {
     /// The node serves.
     Serving,
-    /// The node's address is not given out any more, but it still accepts requests.
+    /// The node's address is withdrawn from callers, but it still accepts requests.
     Leaving,
     /// The node accepts no new requests and finishes those in flight.
     Draining,
@@ -245,8 +245,8 @@
         self.with(|state| state.freshness.is_within(clock::now(), MAX_CERTAIN_CONFIG_AGE))
     }
 
-    /// Returns whether a newer configuration has been announced for so long that the active one may not be
-    /// used any more.
+    /// Returns whether a newer configuration has been announced for so long that the active one may no
+    /// longer be used.
     ///
     /// A node whose link is too slow, or that can't parse the newer one, would otherwise keep serving
     /// removed routes. As long as no node has a newer configuration, the active one remains valid.
--- a/crates/gateway/src/pipeline/forward.rs
+++ b/crates/gateway/src/pipeline/forward.rs
@@ -269,7 +269,7 @@
         }
     }
 
-    // The gaps of a resumed stream come from two engines, so they are no sample of either.
+    // The gaps of a resumed stream come from two engines, so they are not a valid sample of either.
     fn note_gaps(&self) {
         let (Some(backend_response), 1) = (&self.backend_response, self.log_entry.sends) else {
             return;
--- a/crates/gateway/src/pipeline/identify.rs
+++ b/crates/gateway/src/pipeline/identify.rs
@@ -11,7 +11,7 @@
     table::{Route, RouteTable, TeamEntry},
 };
 
-/// The bytes of a header line besides the name and the value: colon, space and line end.
+/// The bytes of a header line in addition to the name and the value: colon, space and line end.
 const HEADER_OVERHEAD: usize = 4;
 
 /// An `IdentifiedRequest` is a request with its route and, if that route needs one, its team.
--- a/crates/gateway/src/pipeline/placement.rs
+++ b/crates/gateway/src/pipeline/placement.rs
@@ -22,8 +22,8 @@
     table::{EngineSizes, ServiceEntry},
 };
 
-/// The one-way latency to another availability zone, for comparing servers: that of the deployments
-/// which this is built for.
+/// The one-way network latency that is assumed to a server in another availability zone, as is typical
+/// of the supported deployments.
 const OTHER_ZONE_LATENCY: Duration = Duration::from_millis(1);
 
 /// The average age of what other nodes reported: half of the gossip interval.
--- a/crates/gateway/src/pipeline/serve.rs
+++ b/crates/gateway/src/pipeline/serve.rs
@@ -30,12 +30,13 @@
 
 /// The part of the caller's deadline that is kept for the way of the response to the caller.
 const CALLER_MARGIN: Duration = Duration::from_millis(20);
-/// The time after which an idempotent call is sent to another server, as a multiple of the service's
+/// The timeout after which an idempotent call is sent to another server, as a multiple of the service's
 /// 95th percentile: a call that is merely slow is not worth a second one.
 const CALL_TIMEOUT_FACTOR: u32 = 2;
-/// The minimum of this time: a healthy node may stall that long.
+/// The minimum of this timeout: a healthy node may stall that long.
 const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(100);
-/// The maximum of this time is the remaining time divided by this: the second attempt needs time too.
+/// The maximum of this timeout is the remaining time divided by this number: the second attempt needs
+/// time too.
 const CALL_TIMEOUT_DIVISOR: u32 = 3;
 /// The time beyond the expected first token after which a resumable stream is sent to another engine.
 const ENGINE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_500);
@@ -232,11 +233,11 @@
     }
     let now = clock::now();
     let limit = gateway.retry_limit();
-    let paid = gateway.with(|state| {
+    let has_budget = gateway.with(|state| {
         let nodes = state.members.count();
         state.retry_budgets.entry(service.clone()).or_default().take(now, limit, nodes)
     });
-    if !paid {
+    if !has_budget {
         tracing::info!(
             event = Event::RepeatRefused.number(),
             id = req.call.id.as_str(),
@@ -244,7 +245,7 @@
             sends = log_entry.sends
         );
     }
-    paid
+    has_budget
 }
 
 // A refusal guarantees that the request was not run. If it may have been, the failure says so.
@@ -258,13 +259,13 @@
     sends: u32,
     left: Duration,
 ) -> Duration {
-    let last = req.route.cfg.attempts <= sends;
+    let is_last = req.route.cfg.attempts <= sends;
     match req.route.cfg.kind {
-        RouteKind::Idempotent if !last => {
+        RouteKind::Idempotent if !is_last => {
             let max = (left / CALL_TIMEOUT_DIVISOR).max(MIN_CALL_TIMEOUT);
             (placement.p95_call * CALL_TIMEOUT_FACTOR + placement.wait).clamp(MIN_CALL_TIMEOUT, max)
         }
-        RouteKind::ResumableStream if !last => {
+        RouteKind::ResumableStream if !is_last => {
             ENGINE_TIMEOUT_MARGIN + placement.footprint.expected.unwrap_or_default()
         }
         _ => Duration::MAX,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -88,7 +88,7 @@
     /// The maximum time between the stop signal and the end of the process.
     #[serde_as(as = "DisplayFromStr")]
     pub grace: humantime::Duration,
-    /// The time within which no two holders of a duty may act in turn.
+    /// The duration of the lease of the duties; within this time at most one node acts as their holder.
     #[serde_as(as = "DisplayFromStr")]
     pub lease: humantime::Duration,
     /// The length of a usage window.
@@ -112,7 +112,7 @@
     /// The fraction by which a team may exceed its limit in a window.
     #[serde_as(as = "DisplayFromStr")]
     pub quota_overage: f64,
-    /// The amount by which a team may exceed its limit in a window besides.
+    /// The absolute amount by which a team may exceed its limit in a window in addition.
     #[serde_as(as = "DisplayFromStr")]
     pub quota_headroom: f64,
     /// The maximum time for which callers keep addresses.
