--- a/crates/gateway/src/cluster/follow.rs
+++ b/crates/gateway/src/cluster/follow.rs
@@ -15,7 +15,7 @@
 
 /// The purpose against whose call budget a follower's calls count.
 const RECORDS: Purpose = Purpose::Records;
-/// The base of the pause after a failed call: it is doubled at most twice, and jitter takes off up to half.
+/// The base of the pause after a failed call: it doubles at most twice, and jitter shortens it by up to half.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// The interval of checks whether relays still supply what is followed.
 const RELAYED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -89,7 +89,7 @@
                 gateway.platform.key_value.watch(prefix, after, wait).await
             }
         };
-        // A relay's update arrived during the call; the response may be older and would undo it.
+        // An update of a relay arrived during the call; the response may be older and would undo it.
         if follower.relayed_update_count() != relayed_update_count {
             continue;
         }
--- a/crates/gateway/src/cluster/receive.rs
+++ b/crates/gateway/src/cluster/receive.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    // Whether the loads and counts of the digest are applied: each request must count only once.
+    // Returns whether the loads and counts of the digest are applied: each request must count only once.
     fn is_source(&self, state: &mut State, digest: &Digest) -> bool {
         let is_same_zone = self.zone == self.gateway.settings.gateway.zone;
         let scope = match (digest.scope, state.relays.role) {
--- a/crates/gateway/src/pipeline/forward.rs
+++ b/crates/gateway/src/pipeline/forward.rs
@@ -180,8 +180,8 @@
         ended && !self.splitter.has_partial_event()
     }
 
-    // The time limit for the next frame. A server that stops sending without a reset is given up after
-    // it if the stream can be resumed; no other response is ended because of a pause.
+    // Returns the time limit for the next frame. If the stream can be resumed, a server that stops sending
+    // without resetting the connection is abandoned after it; other responses may pause until the deadline.
     fn frame_timeout(&self) -> Duration {
         let left = self.original.deadline.since(clock::now());
         if !self.may_resume() {
