--- a/crates/gateway/src/pipeline/forward.rs
+++ b/crates/gateway/src/pipeline/forward.rs
@@ -180,8 +180,8 @@
         ended && !self.splitter.has_partial_event()
     }
 
-    // The time limit for the next frame. A server that stops sending without a reset is given up after
-    // it if the stream can be resumed; no other response is ended because of a pause.
+    // Returns the time limit for the next frame. If the stream can be resumed, a server that stops sending
+    // without resetting the connection is abandoned after it; other responses may pause until the deadline.
     fn frame_timeout(&self) -> Duration {
         let left = self.original.deadline.since(clock::now());
         if !self.may_resume() {
@@ -269,7 +269,7 @@
         }
     }
 
-    // The gaps of a resumed stream come from two engines, so they are no sample of either.
+    // The gaps of a resumed stream come from two engines, so they are not a valid sample of either.
     fn note_gaps(&self) {
         let (Some(backend_response), 1) = (&self.backend_response, self.log_entry.sends) else {
             return;
