--- a/operators/python/bulrushhall/checks.py
+++ b/operators/python/bulrushhall/checks.py
@@ -40,7 +40,7 @@
         problems += _check_references(section, names_by_kind)
         first = first_sections.setdefault((section.kind, section.label), section)
         if first is not section:
-            message = f"{section.kind} {section.label} stands twice, first at {first.place}"
+            message = f"{section.kind} {section.label} is defined twice, first at {first.place}"
             problems.append(Problem(section.place, message, "remove one of them"))
     return sorted(problems, key=lambda problem: (problem.place.file, problem.place.line))
 
--- a/operators/python/tests/test_problems.py
+++ b/operators/python/tests/test_problems.py
@@ -69,7 +69,7 @@
     def test_each_problem(self):
         service = Service("desk")
         cases = [
-            ([Team("a"), Team("a")], "stands twice"),
+            ([Team("a"), Team("a")], "is defined twice"),
             ([Team("a", share=0)], "share is 0"),
             ([Team("a", key_hash="abc")], "no SHA-256 hash"),
             ([Team("")], "malformed name"),
