--- a/crates/coord/src/ownership/machine.rs
+++ b/crates/coord/src/ownership/machine.rs
@@ -59,8 +59,8 @@
 pub enum CopyLocation {
     /// This peer holds it.
     At(Incarnation),
-    /// No peer holds one: the request is lost if this node fails.
-    Nowhere,
+    /// No peer holds a copy: the request is lost if this node fails.
+    NoCopy,
 }
 
 /// An `Ownership` decides for one node which requests it owns and which it holds copies of.
@@ -333,7 +333,7 @@
         }
         owned.stage = Stage::Settled;
         let copied =
-            owned.holder.as_ref().map_or(CopyLocation::Nowhere, |it| CopyLocation::At(it.peer));
+            owned.holder.as_ref().map_or(CopyLocation::NoCopy, |it| CopyLocation::At(it.peer));
         if owned.previous_owner.is_none() {
             out.push(Action::Accepted(id, copied));
         }
--- a/crates/coord/tests/attempt_schedules.rs
+++ b/crates/coord/tests/attempt_schedules.rs
@@ -9,9 +9,9 @@
 const SCHEDULES: u64 = 120_000;
 const MAX_ATTEMPTS: u32 = 4;
 
-/// A `Fate` is what actually happens to one attempt, which only the test knows.
+/// An `ActualOutcome` is what really happens to one attempt; only the test knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum ActualOutcome {
     /// No connection could be opened.
     NotOpened,
     /// The backend server replies that it did not run the call.
@@ -28,28 +28,36 @@
     Abandoned,
 }
 
-impl Fate {
-    const ALL: [Fate; 7] = [
-        Fate::NotOpened,
-        Fate::Rejected,
-        Fate::LostBefore,
-        Fate::LostAfter,
-        Fate::Delayed,
-        Fate::Answered,
-        Fate::Abandoned,
+impl ActualOutcome {
+    const ALL: [ActualOutcome; 7] = [
+        ActualOutcome::NotOpened,
+        ActualOutcome::Rejected,
+        ActualOutcome::LostBefore,
+        ActualOutcome::LostAfter,
+        ActualOutcome::Delayed,
+        ActualOutcome::Answered,
+        ActualOutcome::Abandoned,
     ];
 
     fn runs(self) -> bool {
-        matches!(self, Fate::LostAfter | Fate::Delayed | Fate::Answered | Fate::Abandoned)
+        matches!(
+            self,
+            ActualOutcome::LostAfter
+                | ActualOutcome::Delayed
+                | ActualOutcome::Answered
+                | ActualOutcome::Abandoned
+        )
     }
 
     // Returns the outcome that a node can observe; none if the attempt never ended for it.
     fn observed(self) -> Option<Ran> {
         match self {
-            Fate::NotOpened | Fate::Rejected => Some(Ran::No),
-            Fate::LostBefore | Fate::LostAfter | Fate::Delayed => Some(Ran::Unknown),
-            Fate::Answered => Some(Ran::Yes),
-            Fate::Abandoned => None,
+            ActualOutcome::NotOpened | ActualOutcome::Rejected => Some(Ran::No),
+            ActualOutcome::LostBefore | ActualOutcome::LostAfter | ActualOutcome::Delayed => {
+                Some(Ran::Unknown)
+            }
+            ActualOutcome::Answered => Some(Ran::Yes),
+            ActualOutcome::Abandoned => None,
         }
     }
 
@@ -75,7 +83,7 @@
 // late and callers disconnect.
 #[test]
 fn runs_once() {
-    let violations = run(Fate::observed);
+    let violations = run(ActualOutcome::observed);
     assert_eq!(
         (violations.ran_twice, violations.false_not_run, violations.not_retried),
         (0, 0, 0),
@@ -88,36 +96,37 @@
 #[case::ran_twice(|violations: &Violations| violations.ran_twice)]
 #[case::false_not_run(|violations: &Violations| violations.false_not_run)]
 fn injected_fault(#[case] count: fn(&Violations) -> u64) {
-    let violations = run(Fate::observed_wrongly);
+    let violations = run(ActualOutcome::observed_wrongly);
     assert!(0 < count(&violations), "{violations:?}");
 }
 
-fn run(observed: fn(Fate) -> Option<Ran>) -> Violations {
+fn run(observed: fn(ActualOutcome) -> Option<Ran>) -> Violations {
     let mut violations = Violations::default();
     for seed in 0..SCHEDULES {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut attempts = Attempts::default();
-        let mut fates = Vec::new();
+        let mut outcomes = Vec::new();
         for _ in 0..MAX_ATTEMPTS {
-            let fate = Fate::ALL[random.random_range(0..Fate::ALL.len())];
-            fates.push(fate);
+            let outcome = ActualOutcome::ALL[random.random_range(0..ActualOutcome::ALL.len())];
+            outcomes.push(outcome);
             attempts.begin();
-            let Some(ran) = observed(fate) else { break };
+            let Some(ran) = observed(outcome) else { break };
             attempts.end(ran);
             if !attempts.may_retry() {
                 break;
             }
         }
-        check(&mut violations, &fates, &attempts);
+        check(&mut violations, &outcomes, &attempts);
     }
     violations
 }
 
-fn check(violations: &mut Violations, fates: &[Fate], attempts: &Attempts) {
-    let runs = fates.iter().filter(|fate| fate.runs()).count();
+fn check(violations: &mut Violations, outcomes: &[ActualOutcome], attempts: &Attempts) {
+    let runs = outcomes.iter().filter(|outcome| outcome.runs()).count();
     violations.ran_twice += u64::from(1 < runs);
     violations.false_not_run += u64::from(0 < runs && attempts.ran() == Ran::No);
-    let certainly_not_run =
-        fates.iter().all(|fate| matches!(fate, Fate::NotOpened | Fate::Rejected));
+    let certainly_not_run = outcomes
+        .iter()
+        .all(|outcome| matches!(outcome, ActualOutcome::NotOpened | ActualOutcome::Rejected));
     violations.not_retried += u64::from(certainly_not_run && !attempts.may_retry());
 }
--- a/crates/coord/tests/cluster/world.rs
+++ b/crates/coord/tests/cluster/world.rs
@@ -274,7 +274,7 @@
                 Action::Accepted(_, copied) => {
                     let has_copy = match copied {
                         CopyLocation::At(peer) => self.has_copy(peer),
-                        CopyLocation::Nowhere => false,
+                        CopyLocation::NoCopy => false,
                     };
                     self.trace.push(Event::Accepted { copied, has_copy });
                 }
--- a/crates/daemon/src/callers/admit.rs
+++ b/crates/daemon/src/callers/admit.rs
@@ -70,7 +70,7 @@
         let error = ApiError::not_run(ApiCode::Leaving, "the node is shutting down");
         error.ran(Ran::Unknown)
     };
-    if copied.await.map_err(stopped)? == CopyLocation::Nowhere {
+    if copied.await.map_err(stopped)? == CopyLocation::NoCopy {
         answer.set_uncopied();
         cx.meters.count(Metric::Uncopied, &[], 1);
     }
--- a/crates/daemon/src/callers/relay.rs
+++ b/crates/daemon/src/callers/relay.rs
@@ -24,7 +24,7 @@
     },
     context::Context,
     dispatcher::{Finished, FirstToken, Start},
-    handoff::{Cause, Portable, Produced},
+    handoff::{Cause, Portable, TokenGenerated},
     meters::Metric,
     telemetry::with_parent,
 };
@@ -199,8 +199,8 @@
                     let _ = cx.dispatcher.send(first).await;
                 }
                 run.emitted.push(token.clone());
-                let produced = Produced { id: answer.id(), version: run.version, token };
-                if !cx.ownership.send(produced).await.unwrap_or(false) {
+                let generated = TokenGenerated { id: answer.id(), version: run.version, token };
+                if !cx.ownership.send(generated).await.unwrap_or(false) {
                     answer.halt();
                     return AttemptEnd::failed(CallFault::Closed);
                 }
--- a/crates/daemon/src/handoff/mod.rs
+++ b/crates/daemon/src/handoff/mod.rs
@@ -16,8 +16,8 @@
 pub use find::{cancel, find, follow};
 pub use messages::{Batch, Cancel, Read, ReadReply, register};
 pub use ownership_actor::{
-    Accept, Ended, GetRequestRole, HandOver, OwnershipActor, Produced, Receive, RequestRole,
-    SetMembers, Sweep, Tick, Undelivered,
+    Accept, Ended, GetRequestRole, HandOver, OwnershipActor, Receive, RequestRole, SetMembers,
+    Sweep, Tick, TokenGenerated, Undelivered,
 };
 pub use portable::Portable;
 pub use recomputed::{Cause, Recomputed};
--- a/crates/daemon/src/handoff/ownership_actor.rs
+++ b/crates/daemon/src/handoff/ownership_actor.rs
@@ -43,8 +43,8 @@
     pub copied: oneshot::Sender<CopyLocation>,
 }
 
-/// A `Produced` is a new token of an owned request.
-pub struct Produced {
+/// A `TokenGenerated` reports a new token of an owned request.
+pub struct TokenGenerated {
     /// The request.
     pub id: RequestId,
     /// The version under which the request is run.
@@ -230,11 +230,11 @@
     }
 }
 
-impl Handler<Produced> for OwnershipActor {
+impl Handler<TokenGenerated> for OwnershipActor {
     type Return = bool;
 
-    async fn handle(&mut self, produced: Produced, _cx: &mut xtra::Context<Self>) -> bool {
-        self.machine.token(produced.id, produced.version, produced.token)
+    async fn handle(&mut self, generated: TokenGenerated, _cx: &mut xtra::Context<Self>) -> bool {
+        self.machine.token(generated.id, generated.version, generated.token)
     }
 }
 
