--- a/crates/coord/src/membership.rs
+++ b/crates/coord/src/membership.rs
@@ -366,7 +366,8 @@
     }
 
     // Returns one relay of each remote zone, or any member of a zone whose members are all
-    // suspected: otherwise that zone would stay unreachable after a partition between regions has healed.
+    // suspected: otherwise that zone would stay unreachable after a partition between regions has
+    // healed.
     fn remote_relays(&self, random: &mut dyn Rng) -> Vec<Incarnation> {
         let mut recipients = Vec::new();
         for zone in self.roster.remote_zones() {
--- a/crates/coord/src/relays.rs
+++ b/crates/coord/src/relays.rs
@@ -1,5 +1,6 @@
 //! Which nodes relay updates between availability zones, and with which nodes each node exchanges
-//! them.
+//! them. An update is the state that a node reports of itself, such as the usage of teams; a relay
+//! forwards it to other nodes, in part as sums.
 
 use std::{collections::BTreeMap, time::Duration};
 
--- a/crates/coord/src/usage.rs
+++ b/crates/coord/src/usage.rs
@@ -252,7 +252,8 @@
 impl FixedReports {
     /// Returns the first window after the fixed ones that has ended, if there is one.
     ///
-    /// Windows that are too old are skipped: no node knows their counts any longer.
+    /// Windows older than half of the retained ones are skipped, since nodes do not keep their counts
+    /// for much longer.
     pub fn next(&self, last_ended: Window) -> Option<Window> {
         let oldest = Window(last_ended.0.saturating_sub(RETAINED_WINDOWS / 2));
         let next = match self.windows.last_key_value() {
--- a/crates/policy/src/fleet/planner.rs
+++ b/crates/policy/src/fleet/planner.rs
@@ -10,7 +10,8 @@
     Spread,
 };
 
-/// The minimum number of zones over which VMs are spread, even if some of them refuse purchases.
+/// The minimum number of zones over which VMs are spread, if there are as many, even if some of
+/// them refuse purchases.
 const MIN_ZONES: usize = 3;
 
 /// A `FleetEvent` is an input to a [`FleetPlanner`].
@@ -177,8 +178,8 @@
         self.orphans.retain(|vm, _| unknown.contains(vm));
         for vm in unknown {
             let since = *self.orphans.entry(vm.clone()).or_insert(now);
-            // The plan may lag behind the list: a purchase whose reply was lost is recorded in the
-            // plan only after a retry. This takes much less than the grace period.
+            // The list lags behind purchases and releases, and a purchase whose reply was lost is
+            // recorded in the plan only after a retry. Both take much less than the grace period.
             if since + self.options.orphan_grace_period <= now {
                 out.push(FleetAction::ReleaseOrphan(vm));
             }
--- a/crates/policy/src/fleet_counts/order.rs
+++ b/crates/policy/src/fleet_counts/order.rs
@@ -18,6 +18,6 @@
     pub zone: ZoneName,
     /// The market.
     pub market: CountMarket,
-    /// The number.
+    /// The number of servers.
     pub count: u32,
 }
--- a/crates/policy/src/fleet_counts/planner.rs
+++ b/crates/policy/src/fleet_counts/planner.rs
@@ -18,8 +18,8 @@
 /// How long enough engines must have been present before on-demand ones are released.
 const RELEASE_DELAY: Duration = Duration::from_millis(500);
 
-/// How long the number of servers must be constant before the first plan without demand: longer
-/// than the time between the registrations of two servers.
+/// How long the number of on-demand servers must be constant before the first plan without demand:
+/// longer than the time between the registrations of two servers.
 const STABLE_COUNT_TIME: Duration = Duration::from_millis(1_500);
 /// The minimum number of busy engines that counts as demand.
 const MIN_BUSY: f64 = 0.5;
@@ -32,8 +32,9 @@
 pub struct CountPlanner {
     sizing_rule: SizingRule,
     orders: BTreeMap<(ZoneName, CountMarket), LastOrder>,
-    /// The number of servers when this node took over the duty, which is a lower bound until the
-    /// demand has been observed for long enough.
+    /// The number of reclaimable servers without the reserve, or of on-demand ones if there are
+    /// more, when this node took over the duty. It is a lower bound of the need until the demand has
+    /// been observed for long enough.
     initial_servers: Option<f64>,
     demand_since: Option<Stamp>,
     reclaimable_peak: RecentPeak,
--- a/crates/policy/src/latency_budget.rs
+++ b/crates/policy/src/latency_budget.rs
@@ -41,9 +41,9 @@
     ///
     /// During a burst, requests sent behind a long queue are late and delay those after them, until
     /// callers abandon requests whose prompts are still being computed. Requests whose wait alone
-    /// exceeds the target are refused at once, with a retry delay by which the queue has drained,
-    /// so that the others are served in time. The processing time of the request itself does not
-    /// count, or large requests would starve.
+    /// exceeds the target are refused at once, so that the others are served in time. The retry
+    /// delay is at least the time until the queue is short enough, plus jitter. The processing time
+    /// of the request itself does not count, or large requests would starve.
     pub fn check_wait(&self, wait: Duration, random: &mut dyn Rng) -> Result<(), Duration> {
         let max_wait = self.target.min(self.first_event_timeout().mul_f64(MAX_WAIT_SHARE));
         if wait <= max_wait {
--- a/crates/policy/src/placement/options.rs
+++ b/crates/policy/src/placement/options.rs
@@ -11,7 +11,7 @@
     pub recomputed: f64,
     /// The share of a prompt that its home engine is assumed to cache without a hint.
     pub home_cached_share: f64,
-    /// The maximum load of a home engine, as a multiple of the mean load.
+    /// The maximum load of a home engine, as a multiple of the mean load plus one request.
     pub home_load_factor: f64,
     /// The number of best engines among which one is chosen at random.
     pub top_candidates: usize,
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -16,7 +16,8 @@
     pub ratio: f64,
     /// The maximum balance of a budget.
     pub max_balance: f64,
-    /// The maximum number of attempts of one request, over all nodes.
+    /// The maximum number of attempts of one request, over all nodes; requests that were accepted
+    /// are exempt.
     pub max_attempts: u32,
     /// The backoff before the first retry, without jitter; it doubles with each further retry.
     pub initial_backoff: Duration,
