--- a/crates/coord/tests/cluster/check.rs
+++ b/crates/coord/tests/cluster/check.rs
@@ -14,7 +14,7 @@
     MixedText,
     /// A reader received a token twice or out of order.
     RepeatedToken,
-    /// Two readers received different texts although no holder was replaced.
+    /// Readers received different texts, or one had to start over, although no holder was replaced.
     DivergingTexts,
     /// A copied request was lost although the disruptions were within what ownership tolerates.
     LostRequest,
--- a/crates/coord/tests/config_age.rs
+++ b/crates/coord/tests/config_age.rs
@@ -13,7 +13,7 @@
 }
 
 // Responses are reordered. A late one refers to an earlier time and must not raise the age, and the
-// age must never be lower than it is.
+// reported age must never be lower than the actual one.
 #[test]
 fn reordered_responses() {
     let mut freshness = Freshness::default();
--- a/crates/coord/tests/leaving_holder.rs
+++ b/crates/coord/tests/leaving_holder.rs
@@ -106,8 +106,8 @@
     }
 }
 
-// The holder's VM is being reclaimed. The owner dies before it has received that, and the holder
-// ends with its notice. Without a copy at the third node the caller would get no response.
+// The holder's VM is being reclaimed. The owner dies before it learns of that, and the holder ends
+// with its notice. Without a copy at the third node the caller would get no response.
 #[test]
 fn owner_dies() {
     let mut cluster = Cluster::start();
@@ -123,7 +123,7 @@
     assert!(cluster.machines[third].version(id()).is_some());
 }
 
-// The owner receives that its holder is leaving and copies the request to another peer at once. The
+// The owner learns that its holder is leaving and copies the request to another peer at once. The
 // copy that the old holder passes on must not interfere.
 #[test]
 fn owner_replaces_leaving_holder() {
--- a/crates/coord/tests/orders/check.rs
+++ b/crates/coord/tests/orders/check.rs
@@ -20,7 +20,7 @@
 pub enum Violation {
     /// The call of a key ran twice.
     RanTwice,
-    /// A caller was told that a call did not run although it did.
+    /// A caller was told that a call did not run although it had run.
     FalseNotRun,
     /// A caller received an answer to a call that never ran.
     AnsweredWithoutRun,
--- a/crates/coord/tests/orders/world.rs
+++ b/crates/coord/tests/orders/world.rs
@@ -79,7 +79,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    Order(usize, u8),
+    Call(usize, u8),
     Read(usize, Incarnation, u16),
     Found(usize, Incarnation, u16, Option<(u64, Bytes)>),
     Write(usize, Incarnation, u16, u64, Bytes),
@@ -133,7 +133,7 @@
             let (node, key) =
                 (self.random.random_range(0..NODES), self.random.random_range(0..KEYS));
             let at = Duration::from_millis(self.random.random_range(0..2_500));
-            self.after(at, Step::Order(node, key));
+            self.after(at, Step::Call(node, key));
         }
         if self.random.random_bool(0.4) {
             let node = self.random.random_range(0..NODES);
@@ -146,7 +146,7 @@
             let time = self.random.random_range(100..2_000);
             self.after(at, Step::Pause(node, time));
         }
-        self.after(Duration::from_secs(6), Step::Order(1, LAST_KEY));
+        self.after(Duration::from_secs(6), Step::Call(1, LAST_KEY));
         let end = self.now + END;
         while let Some(Reverse((at, _, step))) = self.queue.pop() {
             if end < at {
@@ -177,7 +177,7 @@
         }
         let (now, wall) = (self.now, self.now.0 / 1_000);
         match step {
-            Step::Order(at, key) => self.order(at, key),
+            Step::Call(at, key) => self.call(at, key),
             Step::Read(at, incarnation, shard) => {
                 let is_unavailable = self.random.random_bool(self.faults.unavailable);
                 let found = (!is_unavailable).then(|| self.store.get(Shard(shard)));
@@ -233,7 +233,7 @@
         self.nodes[at] = node(next);
     }
 
-    fn order(&mut self, at: usize, key: u8) {
+    fn call(&mut self, at: usize, key: u8) {
         if self.plan.mutant == Some(Mutant::IgnoresHomes) {
             self.run_at_home(at, key);
             return;
@@ -378,7 +378,7 @@
     // Returns the node that has to be awake for the step.
     fn node(&self) -> Option<usize> {
         match self {
-            Step::Order(at, _)
+            Step::Call(at, _)
             | Step::Found(at, ..)
             | Step::Swap(at, ..)
             | Step::Executed(at, ..)
--- a/crates/coord/tests/relay_plan.rs
+++ b/crates/coord/tests/relay_plan.rs
@@ -139,8 +139,8 @@
     let choice = sources.offer(at(1_000), scope(), other, 20);
     assert_eq!(choice, SourceChoice::Accepted { previous: Some(one) });
     assert!(sources.contains(other) && !sources.contains(one));
-    // A relay that has just started covers few nodes, and is ignored until it covers more than the
-    // other.
+    // A relay that has just started covers few nodes, and is ignored until it covers more nodes than
+    // the other one.
     assert_eq!(sources.offer(at(1_100), scope(), one, 3), SourceChoice::Ignored);
     let choice = sources.offer(at(1_200), scope(), one, 30);
     assert_eq!(choice, SourceChoice::Accepted { previous: Some(other) });
--- a/crates/policy/tests/latency_budget.rs
+++ b/crates/policy/tests/latency_budget.rs
@@ -26,8 +26,8 @@
 }
 
 // A burst fills all engines for seconds. A request behind that queue would be late, and its prompt
-// would be computed after its caller has left. It must be refused at once, with a retry delay by
-// which the queue has drained.
+// would be computed after its caller has left. It must be refused at once, with a retry delay after
+// which the wait is within the target.
 #[test]
 fn burst() {
     let mut random = Pcg64::seed_from_u64(1);
