--- a/crates/coord/src/chain.rs
+++ b/crates/coord/src/chain.rs
@@ -59,8 +59,8 @@
     Call(Duration, ChainCall),
     /// The change is certainly accepted, as this revision.
     Accepted(Revision),
-    /// The change is not accepted and never will be; with [`ChainRefusal::Forgotten`] the outcome
-    /// is unknown.
+    /// The change is not accepted and never will be; only with [`ChainRefusal::OutcomeUnknown`] it
+    /// may have been accepted.
     Refused(ChainRefusal),
 }
 
@@ -88,7 +88,7 @@
     /// The key-value service is unreachable; nothing was written.
     Unreachable,
     /// The reply was lost, and so many revisions were added since that the outcome can't be found.
-    Forgotten {
+    OutcomeUnknown {
         /// The newest revision.
         found: Revision,
     },
@@ -185,7 +185,7 @@
         match found.nonce_of(ours.revision) {
             Some(nonce) if nonce == self.nonce => ChainStep::Accepted(ours.revision),
             None if ours.revision <= found.revision && self.may_take_effect => {
-                ChainStep::Refused(ChainRefusal::Forgotten { found: found.revision })
+                ChainStep::Refused(ChainRefusal::OutcomeUnknown { found: found.revision })
             }
             _ => {
                 let expected = self.expected.unwrap_or_default();
@@ -228,7 +228,7 @@
             ChainRefusal::Unreachable => {
                 f.write_str("the key-value service can't be reached; nothing was written")
             }
-            ChainRefusal::Forgotten { found } => write!(
+            ChainRefusal::OutcomeUnknown { found } => write!(
                 f,
                 "the reply was lost and revision {found} is too far ahead to determine the outcome; \
                  compare the history"
