--- a/crates/coord/tests/relay_plan.rs
+++ b/crates/coord/tests/relay_plan.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn agreed() {
+fn nodes_agree_on_relays() {
     let fleet = Fleet::new(120, 6);
     let plans = fleet.plans();
     for (node, zone) in &fleet.nodes {
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -43,8 +43,9 @@
         random: &mut dyn Rng,
     ) -> Option<Placed>;
 
-    /// Records that an engine's prefix cache added or evicted a block.
-    fn note_cache(&mut self, _worker: WorkerKey, _block: u64, _held: bool) {}
+    /// Records that an engine's prefix cache added or evicted a block; `cached` is whether it holds
+    /// the block now.
+    fn note_cache(&mut self, _worker: WorkerKey, _block: u64, _cached: bool) {}
 
     /// Removes all state of an engine.
     fn remove_worker(&mut self, _worker: WorkerKey) {}
--- a/crates/policy/src/placement/predicted.rs
+++ b/crates/policy/src/placement/predicted.rs
@@ -181,8 +181,8 @@
         })
     }
 
-    fn note_cache(&mut self, worker: WorkerKey, block: u64, held: bool) {
-        if held {
+    fn note_cache(&mut self, worker: WorkerKey, block: u64, cached: bool) {
+        if cached {
             self.hints.insert(worker, block, self.options.max_hinted_blocks);
         } else {
             self.hints.remove(worker, block);
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -252,9 +252,10 @@
         self.update_capacity(now, random)
     }
 
-    /// Records that an engine's prefix cache added or evicted a block.
-    pub fn note_cache(&mut self, key: WorkerKey, block: u64, held: bool) {
-        self.placement.note_cache(key, block, held);
+    /// Records that an engine's prefix cache added or evicted a block; `cached` is whether it holds
+    /// the block now.
+    pub fn note_cache(&mut self, key: WorkerKey, block: u64, cached: bool) {
+        self.placement.note_cache(key, block, cached);
     }
 
     /// Expires and starts requests that are due.
