--- a/crates/gateway/src/change_log.rs
+++ b/crates/gateway/src/change_log.rs
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Returns the updates after the change `after`, or all records if the log does not reach back that far.
+    /// Returns the updates after the change `after`, or all records if the log does not reach back that far or
+    /// has not numbered such a change.
     ///
     /// `records` returns the records that have changed after a number, and `has_record` whether a name has a
     /// record.
--- a/crates/gateway/src/cluster/advertise.rs
+++ b/crates/gateway/src/cluster/advertise.rs
@@ -21,7 +21,7 @@
 const ALL_WINDOWS_INTERVAL: u64 = 8;
 /// The number of rounds after which relays report values that may be late.
 const LATE_VALUES_INTERVAL: u64 = 4;
-/// The minimum quota per second that a team has to request to be reported.
+/// The minimum demand of a team, in quota per second, that is reported.
 const MIN_REPORTED_DEMAND: f64 = 1.0;
 
 /// `DigestOptions` are the scopes and the receiver of a digest.
--- a/crates/gateway/src/cluster/digest.rs
+++ b/crates/gateway/src/cluster/digest.rs
@@ -26,7 +26,7 @@
     Nothing,
 }
 
-/// A `LiveNode` is a node from which a relay receives digests.
+/// A `LiveNode` is a node that the sender of an aggregated digest knows to be alive.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(into = "(Incarnation, bool, u16)")]
 pub struct LiveNode {
@@ -100,7 +100,7 @@
     /// The number of nodes that the following values are about.
     #[serde(default = "one")]
     pub nodes: u32,
-    /// The nodes from which the sender receives digests, in an aggregated digest.
+    /// The nodes that the sender knows to be alive, in an aggregated digest.
     #[serde(default, rename = "heard")]
     pub live_nodes: Vec<LiveNode>,
     /// The quota that each team has used since the start of the nodes.
--- a/crates/gateway/src/cluster/members.rs
+++ b/crates/gateway/src/cluster/members.rs
@@ -13,7 +13,8 @@
 
 /// The heartbeat timeout of a node: four gossip intervals of 250 ms and a margin.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// The time after which a node without a record in the key-value service is removed if it is silent.
+/// How long a node without a record in the key-value service is kept after its last digest, or after another
+/// node last reported it as alive.
 const UNLISTED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The maximum number of tombstones of removed records.
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Removes nodes that have no record and are dead.
+    /// Removes nodes that have no record and whose last digest or report as alive is too old.
     pub fn expire(&mut self, now: Stamp) {
         let incarnations = &mut self.incarnations;
         self.nodes.retain(|name, member| {
--- a/crates/gateway/src/pipeline/serve.rs
+++ b/crates/gateway/src/pipeline/serve.rs
@@ -103,8 +103,8 @@
     });
     let mut attempts = Attempts::default();
     let mut error_response = None;
-    let sends = (&mut attempts, &mut error_response);
-    let sent = send_with_retries(gateway, &req, &original, &service, sends, log_entry).await;
+    let retry_state = (&mut attempts, &mut error_response);
+    let sent = send_with_retries(gateway, &req, &original, &service, retry_state, log_entry).await;
     match (sent, error_response) {
         (Ok((backend_response, tried)), _) => Ok((original, req, backend_response, tried)),
         // An error response of a backend server is forwarded if no retry replaced it.
