--- a/crates/daemon/src/handoff/abandon.rs
+++ b/crates/daemon/src/handoff/abandon.rs
@@ -12,7 +12,7 @@
 /// How long an answer without a reader keeps running, so that its caller can reconnect.
 const ABANDON_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Cancels answers that need a reader and have had none for [`ABANDON_TIMEOUT`].
+/// Cancels answers that need a reader and have had none for `ABANDON_TIMEOUT`.
 ///
 /// Otherwise engines would generate the rest of every answer whose caller has disconnected.
 pub async fn cancel_abandoned(cx: Arc<Context>) {
