--- a/crates/daemon/src/callers/admit.rs
+++ b/crates/daemon/src/callers/admit.rs
@@ -32,10 +32,7 @@
     request: Classified,
 ) -> Result<Arc<Answer>, ApiError> {
     if cx.is_leaving() {
-        return Err(ApiError::not_run(
-            ApiCode::Leaving,
-            "the node is leaving and takes no new requests",
-        ));
+        return Err(ApiError::not_run(ApiCode::Leaving, "the node takes no new work"));
     }
     let mut reservation = TeamReservation::reserve(cx, &team, &request)?;
     let queued = enqueue(cx, &team, &request, AdmissionStatus::New, &[]).await?;
@@ -48,7 +45,7 @@
 
     let (copied_tx, copied) = oneshot::channel();
     let accept = Accept { id, body, copied: copied_tx };
-    let stopping = |_| ApiError::not_run(ApiCode::Leaving, "the node is shutting down");
+    let stopping = |_| ApiError::not_run(ApiCode::Leaving, "the node is stopping");
     cx.ownership.send(accept).await.map_err(stopping)?;
     let version = Version { epoch: 1, generation: 0, owner: cx.incarnation };
     let emitted = Vec::new();
@@ -67,7 +64,7 @@
     // survive the loss of this node. The run starts concurrently, so that copying does not delay
     // the first token.
     let stopped = |_| {
-        let error = ApiError::not_run(ApiCode::Leaving, "the node is shutting down");
+        let error = ApiError::not_run(ApiCode::Leaving, "the node is stopping");
         error.ran(Ran::Unknown)
     };
     if copied.await.map_err(stopped)? == CopyLocation::NoCopy {
@@ -125,8 +122,7 @@
         accepted: accepted_tx,
         start: start_tx,
     };
-    let node_stopping =
-        || ApiError::not_run(ApiCode::Leaving, "the node is shutting down").ran(Ran::No);
+    let node_stopping = || ApiError::not_run(ApiCode::Leaving, "the node is stopping").ran(Ran::No);
     cx.dispatcher.send(submit).await.map_err(|_| node_stopping())?;
     match accepted.await.map_err(|_| node_stopping())? {
         Verdict::Accepted(ticket) => Ok(QueuedRequest { ticket, start }),
--- a/crates/daemon/src/callers/classify.rs
+++ b/crates/daemon/src/callers/classify.rs
@@ -156,7 +156,7 @@
     parts: &Parts,
     default_class: DefaultClass,
 ) -> Result<(ClassName, &'a bulrushhall_core::config::ClassConfig), ApiError> {
-    let unknown = || ApiError::not_run(ApiCode::UnknownClass, "the request class does not exist");
+    let unknown = || ApiError::not_run(ApiCode::UnknownClass, "no class has the given name");
     let named = parts.headers.get(CLASS_HEADER).and_then(|name| name.to_str().ok());
     if let Some(named) = named {
         let class = ClassName::new(named).map_err(|_| unknown())?;
--- a/crates/daemon/src/callers/events.rs
+++ b/crates/daemon/src/callers/events.rs
@@ -151,12 +151,12 @@
 }
 
 fn diverged_error() -> ApiError {
-    let message = "the answer was regenerated with a different text; read it from the beginning";
+    let message = "the answer was written anew with other words; read it from its beginning";
     ApiError::not_run(ApiCode::StreamDiverged, message).ran(Ran::Yes)
 }
 
 fn moved_error(answer: &Answer, address: std::net::SocketAddr) -> ApiError {
-    let message = format!("the answer {} is continued by the node at {address}", answer.id());
+    let message = format!("the answer {} goes on at {address}", answer.id());
     let error = ApiError::not_run(ApiCode::Leaving, message);
     error.ran(Ran::Unknown).retry_after(MOVED_RETRY)
 }
--- a/crates/daemon/src/callers/identify.rs
+++ b/crates/daemon/src/callers/identify.rs
@@ -43,7 +43,7 @@
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        let message = format!("the header {name} is present more than once");
+        let message = format!("the header {name} stands more than once");
         return Err(ApiError::not_run(ApiCode::InvalidValue, message));
     }
     value.to_str().map(Some).map_err(|_| unknown_team())
@@ -83,8 +83,5 @@
 }
 
 fn unknown_team() -> ApiError {
-    ApiError::not_run(
-        ApiCode::UnknownKey,
-        "the request does not identify a team of this deployment",
-    )
+    ApiError::not_run(ApiCode::UnknownKey, "the request names no team of this deployment")
 }
--- a/crates/daemon/src/callers/limit.rs
+++ b/crates/daemon/src/callers/limit.rs
@@ -60,9 +60,9 @@
 
 fn limit_error(exceeded: LimitExceeded) -> ApiError {
     let message = match exceeded.limit {
-        TeamLimit::Concurrency => "the team has too many concurrent requests",
-        TeamLimit::Requests => "the team is over its request rate limit",
-        TeamLimit::Tokens => "the team is over its token rate limit",
+        TeamLimit::Concurrency => "the team has too many requests at once",
+        TeamLimit::Requests => "the team has sent too many requests",
+        TeamLimit::Tokens => "the team has asked for too many tokens",
     };
     ApiError::not_run(ApiCode::TeamLimit, message).retry_after(exceeded.retry_after)
 }
--- a/crates/daemon/src/callers/requests.rs
+++ b/crates/daemon/src/callers/requests.rs
@@ -68,7 +68,7 @@
         return Ok(events::stream_from(&answer, 0, Delivery::StreamedWithUsage));
     };
     let malformed = || {
-        let message = "Last-Event-ID is not the id of an event of this request";
+        let message = "Last-Event-ID is not an event of this request";
         ApiError::not_run(ApiCode::InvalidValue, message)
     };
     let last = last.to_str().map_err(|_| malformed())?;
--- a/crates/daemon/src/callers/router.rs
+++ b/crates/daemon/src/callers/router.rs
@@ -66,7 +66,7 @@
                 let body = self.read_body(body).await?;
                 services::call(cx, &parts, service, body).await
             }
-            _ => Err(ApiError::not_run(ApiCode::NotFound, format!("unknown path {path}"))),
+            _ => Err(ApiError::not_run(ApiCode::NotFound, format!("nothing is at {path}"))),
         }
     }
 
@@ -101,6 +101,6 @@
         return Ok(());
     }
     let names: Vec<&str> = methods.iter().map(Method::as_str).collect();
-    let message = format!("{} only accepts {}", parts.uri.path(), names.join(" and "));
+    let message = format!("{} takes {}", parts.uri.path(), names.join(" and "));
     Err(ApiError::not_run(ApiCode::MethodNotAllowed, message))
 }
--- a/crates/daemon/src/callers/services.rs
+++ b/crates/daemon/src/callers/services.rs
@@ -56,10 +56,7 @@
         return call_at_most_once(cx, parts, team, &name, call).await;
     }
     if cx.is_leaving() {
-        return Err(ApiError::not_run(
-            ApiCode::Leaving,
-            "the node is leaving and takes no new requests",
-        ));
+        return Err(ApiError::not_run(ApiCode::Leaving, "the node takes no new work"));
     }
     call_idempotent(cx, &name, call).await
 }
@@ -107,8 +104,7 @@
 
 fn ticket_from_headers(parts: &Parts) -> Result<Option<Incarnation>, ApiError> {
     let Some(ticket) = parts.headers.get(TICKET_HEADER) else { return Ok(None) };
-    let malformed =
-        || ApiError::not_run(ApiCode::InvalidValue, "the x-ticket header is not a valid ticket");
+    let malformed = || ApiError::not_run(ApiCode::InvalidValue, "x-ticket is not a ticket");
     let ticket = ticket.to_str().ok().and_then(|ticket| ticket.strip_prefix("t-"));
     ticket.ok_or_else(malformed)?.parse().map(Some).map_err(|_| malformed())
 }
@@ -144,7 +140,7 @@
 
 fn idempotency_key(call: &ServiceCall) -> Result<Bytes, ApiError> {
     let missing = || {
-        let message = "a call that is not idempotent needs an Idempotency-Key header";
+        let message = "a call that may run at most once needs an Idempotency-Key";
         ApiError::not_run(ApiCode::MissingIdempotencyKey, message)
     };
     let key = call.headers.get(KEY_HEADER).ok_or_else(missing)?.as_bytes();
@@ -152,7 +148,7 @@
         return Err(missing());
     }
     if MAX_KEY_BYTES < key.len() {
-        let message = format!("the Idempotency-Key header is longer than {MAX_KEY_BYTES} bytes");
+        let message = format!("the Idempotency-Key is longer than {MAX_KEY_BYTES} bytes");
         return Err(ApiError::not_run(ApiCode::InvalidValue, message));
     }
     Ok(Bytes::copy_from_slice(key))
--- a/crates/daemon/src/handoff/find.rs
+++ b/crates/daemon/src/handoff/find.rs
@@ -83,7 +83,7 @@
         let Some((team, id, seen)) = open_answer_state(&answer) else { return };
         let Some(Found { node, reply }) = locate(&cx, &team, id, seen).await else {
             let Some(answer) = answer.upgrade() else { return };
-            let message = "no node has the request any more";
+            let message = "no node knows the request any more";
             let error = ApiError::not_run(ApiCode::Unavailable, message).ran(Ran::Unknown);
             answer.end(AnswerEnd::Failed(error));
             return;
@@ -146,8 +146,7 @@
             FollowState::Ended
         }
         ReadReply::Diverged => {
-            let message =
-                "the answer was regenerated with a different text; read it from the beginning";
+            let message = "the answer was written anew with other words; read it from the start";
             let error = ApiError::not_run(ApiCode::StreamDiverged, message).ran(Ran::Yes);
             answer.end(AnswerEnd::Failed(error));
             if registered {
--- a/crates/daemon/src/keyed/home.rs
+++ b/crates/daemon/src/keyed/home.rs
@@ -49,7 +49,7 @@
             KeyedReply::Answered(stored) => return Ok(stored),
             KeyedReply::Failed(error) => return Err(error),
             KeyedReply::Running if until <= Instant::now() => {
-                let message = "a call with this key is still running";
+                let message = "a call with this key still runs";
                 return Err(ApiError::not_run(ApiCode::KeyInProgress, message).ran(Ran::Unknown));
             }
             KeyedReply::Running => sleep(POLL_PAUSE).await,
@@ -110,11 +110,11 @@
     match bound {
         Some(Ok(home)) => Ok(home),
         Some(Err(ClaimRefusal::Full)) => {
-            let message = "the claim records are full at the moment; use a ticket";
+            let message = "no more keys can be remembered now; use a ticket";
             Err(refused(ApiCode::Overloaded, message).retry_after(OUTAGE_RETRY_AFTER))
         }
         Some(Err(ClaimRefusal::Outage)) | None => {
-            let message = "the key could not be claimed; use a ticket";
+            let message = "the key could not be claimed now; use a ticket";
             Err(refused(ApiCode::Unavailable, message).retry_after(OUTAGE_RETRY_AFTER))
         }
     }
@@ -184,7 +184,7 @@
         Some(KeyedReply::Failed(ApiError::not_run(code, message).ran(ran)))
     };
     if *claim == Claim::Full {
-        return failed(ApiCode::Overloaded, "the ledger of keys is full at the moment", Ran::No);
+        return failed(ApiCode::Overloaded, "no more keys can be remembered now", Ran::No);
     }
     match known {
         Some(Claim::Running | Claim::Run) => None,
@@ -192,7 +192,7 @@
             let stored = stored.as_ref().and_then(|bytes| StoredResponse::decode(bytes));
             match stored {
                 Some(stored) => Some(KeyedReply::Answered(stored)),
-                None => failed(ApiCode::BackendFailed, "the call ended without a response", *ran),
+                None => failed(ApiCode::BackendFailed, "the call ended without an answer", *ran),
             }
         }
         Some(Claim::OtherBody) => {
@@ -267,13 +267,12 @@
 }
 
 fn leaving_error(ran: Ran) -> ApiError {
-    let error = ApiError::not_run(ApiCode::Leaving, "the node is leaving and takes no new calls");
+    let error = ApiError::not_run(ApiCode::Leaving, "the node takes no new work");
     error.ran(ran).retry_after(Duration::from_secs(1))
 }
 
 fn home_unreachable(home: Incarnation) -> ApiError {
-    let message =
-        format!("node incarnation {home}, the only one that may run this key, cannot be reached");
+    let message = format!("the node's life {home} that alone may run this key can't be reached");
     ApiError::not_run(ApiCode::StaleTicket, message).ran(Ran::Unknown)
 }
 
--- a/crates/external/src/errors.rs
+++ b/crates/external/src/errors.rs
@@ -65,13 +65,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.fault {
             CallFault::Connect => f.write_str("no connection could be opened"),
-            CallFault::Identity => f.write_str("another process listens on the address"),
-            CallFault::Timeout => f.write_str("no progress within the timeout"),
-            CallFault::Closed => f.write_str("the connection was closed early"),
+            CallFault::Identity => f.write_str("another process answers at the address"),
+            CallFault::Timeout => f.write_str("no progress within the time-out"),
+            CallFault::Closed => f.write_str("the connection ended early"),
             CallFault::Refused { status } => write!(f, "refused with status {status}"),
-            CallFault::TooLarge => f.write_str("the response is larger than allowed"),
-            CallFault::Malformed => f.write_str("malformed request or response"),
-            CallFault::Budget => f.write_str("the budget for such calls is exhausted"),
+            CallFault::TooLarge => f.write_str("the answer is larger than allowed"),
+            CallFault::Malformed => f.write_str("the answer could not be read"),
+            CallFault::Budget => f.write_str("the budget for such calls is spent"),
         }?;
         write!(f, " (ran: {})", self.ran.as_str())
     }
--- a/crates/external/src/http/body.rs
+++ b/crates/external/src/http/body.rs
@@ -38,7 +38,7 @@
         f.write_str(match self {
             BodyError::TooLarge => "the body is too large",
             BodyError::Timeout => "the body did not arrive in time",
-            BodyError::Closed => "the connection was closed within the body",
+            BodyError::Closed => "the connection ended within the body",
         })
     }
 }
