--- a/crates/daemon/src/callers/identify.rs
+++ b/crates/daemon/src/callers/identify.rs
@@ -37,8 +37,8 @@
     }
 }
 
-// If a header is repeated, a proxy in front of the node may evaluate another one of the two than
-// the node does and attribute the request to another team. Such a request is refused.
+// If a header occurs twice, a proxy in front of the node may use one value and the node the other,
+// and they attribute the request to different teams. Such a request is refused.
 fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, ApiError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
--- a/crates/daemon/src/callers/relay.rs
+++ b/crates/daemon/src/callers/relay.rs
@@ -31,7 +31,7 @@
 
 /// The pause before the next attempt when no engine takes work or an attempt has just failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// The attempt numbers that are reserved for one epoch of ownership, so that those of a later owner
+/// How many attempt numbers are reserved for each epoch of ownership, so that those of a later owner
 /// are higher.
 const ATTEMPTS_PER_EPOCH: u32 = 1_000;
 
@@ -45,7 +45,7 @@
     pub version: Version,
     /// The tokens that earlier attempts and owners have produced.
     pub emitted: Vec<String>,
-    /// Why the run had to be resumed.
+    /// Why the run was last resumed; `Cause::Engine` if it has not been.
     pub cause: Cause,
 }
 
--- a/crates/daemon/src/handoff/drain.rs
+++ b/crates/daemon/src/handoff/drain.rs
@@ -16,8 +16,7 @@
 const TICK_PAUSE: Duration = Duration::from_millis(4);
 /// The pause between two sweeps over all requests.
 const SWEEP_PAUSE: Duration = Duration::from_millis(100);
-/// The divisor that gives the last part of the drain time, in which running requests are handed
-/// over.
+/// The drain time divided by this is its last part, in which running requests are handed over.
 const HANDOVER_DIVISOR: u32 = 4;
 /// The maximum length of that last part.
 const MAX_HANDOVER_TIME: Duration = Duration::from_secs(4);
--- a/crates/daemon/src/handoff/find.rs
+++ b/crates/daemon/src/handoff/find.rs
@@ -25,7 +25,7 @@
 /// The pause between two query rounds.
 const FIND_PAUSE: Duration = Duration::from_millis(150);
 /// The maximum number of referrals to another node that are followed in one round.
-const MAX_FORWARDS: usize = 4;
+const MAX_REFERRALS: usize = 4;
 
 /// The node at which an answer was found, and its reply.
 struct Found {
@@ -55,7 +55,7 @@
     Some(answer)
 }
 
-/// Cancels a team's request, whichever node owns it; returns whether it was found.
+/// Cancels a team's request, whichever node owns it; returns whether its owner cancelled it.
 pub async fn cancel(cx: &Arc<Context>, answer: &Arc<Answer>) -> bool {
     if cancel_if_owned(cx, answer).await {
         return true;
@@ -196,7 +196,7 @@
     mut likely_owner: Incarnation,
 ) -> (Option<Found>, bool) {
     let read = Read { team: team.clone(), id, seen, mode: ReadMode::Look };
-    for _ in 0..MAX_FORWARDS {
+    for _ in 0..MAX_REFERRALS {
         let Some(node) = cx.members.find(likely_owner) else { break };
         match read_from_node(cx, node, read.clone()).await {
             Some(Found { reply: ReadReply::MovedTo(to), .. }) if to != likely_owner => {
--- a/crates/daemon/src/handoff/ownership_actor.rs
+++ b/crates/daemon/src/handoff/ownership_actor.rs
@@ -286,7 +286,8 @@
     async fn handle(&mut self, set: SetMembers, _cx: &mut xtra::Context<Self>) {
         let mut peers = Vec::new();
         for member in set.0.iter() {
-            // Addresses are kept, since a removed member may still be due replies and handovers.
+            // Addresses are never removed, since replies and handovers to a node that is no longer
+            // a member may still have to be sent.
             self.addresses.insert(member.incarnation, member.peers);
             peers.push(Peer {
                 incarnation: member.incarnation,
--- a/crates/daemon/src/keyed/claimer.rs
+++ b/crates/daemon/src/keyed/claimer.rs
@@ -27,7 +27,7 @@
 
 type BindResult = Result<Incarnation, ClaimRefusal>;
 
-/// A `Claimer` looks up and claims the home nodes of idempotency keys.
+/// A `Claimer` looks up the home nodes of idempotency keys and claims the keys that have none.
 pub struct Claimer {
     clock: Clock,
     machine: Claims,
--- a/crates/daemon/src/keyed/home.rs
+++ b/crates/daemon/src/keyed/home.rs
@@ -220,10 +220,10 @@
             attempts.begin();
             let ended = services::forward(&backend, request.clone()).await;
             attempts.end(ran_of(cfg, &ended));
-            if let Ok(answer) = ended
+            if let Ok(response) = ended
                 && attempts.ran() == Ran::Yes
             {
-                stored = Some(StoredResponse::of(&answer).encode());
+                stored = Some(StoredResponse::of(&response).encode());
             }
             if !attempts.may_retry() {
                 break;
@@ -239,8 +239,8 @@
     match ended {
         Err(error) => error.ran,
         // A backend server that checks fencing numbers refuses the call before it runs anything.
-        Ok(answer) if fenced && answer.status == StatusCode::PRECONDITION_FAILED => Ran::No,
-        Ok(answer) if answer.status.is_server_error() => Ran::Unknown,
+        Ok(response) if fenced && response.status == StatusCode::PRECONDITION_FAILED => Ran::No,
+        Ok(response) if response.status.is_server_error() => Ran::Unknown,
         Ok(_) => Ran::Yes,
     }
 }
--- a/crates/daemon/src/keyed/messages.rs
+++ b/crates/daemon/src/keyed/messages.rs
@@ -25,7 +25,8 @@
     pub service: ServiceName,
     /// The idempotency key.
     pub key: Bytes,
-    /// The node incarnation whose ticket the caller sent; none if the home of the key is claimed.
+    /// The node incarnation that is the home of the key: from the caller's ticket, or set by a node
+    /// that forwards the call to the home. None if the home has to be looked up or claimed.
     pub ticket: Option<Incarnation>,
     /// The method.
     pub method: String,
--- a/crates/daemon/tests/hostile_headers.rs
+++ b/crates/daemon/tests/hostile_headers.rs
@@ -147,10 +147,10 @@
 async fn oversized_headers(#[case] headers: &str) {
     let testbed = start_with_keys().await;
     let answer = send(testbed.nodes[0].callers(), &models_request(headers)).await;
-    // The server may close before the whole flood was written, which the client may see as a reset.
+    // The server may close before all headers are written, which the client may see as a reset.
     assert!(matches!(status_of(&answer), 431 | 400 | 0), "{answer}");
-    let honest = models_request(&format!("authorization: Bearer {KEY}\r\n"));
-    let answer = send(testbed.nodes[0].callers(), &honest).await;
+    let valid_request = models_request(&format!("authorization: Bearer {KEY}\r\n"));
+    let answer = send(testbed.nodes[0].callers(), &valid_request).await;
     assert_eq!(status_of(&answer), 200, "{answer}");
 }
 
--- a/crates/daemon/tests/request_failover.rs
+++ b/crates/daemon/tests/request_failover.rs
@@ -168,8 +168,9 @@
     }
 }
 
-// The VM of an engine is reclaimed with a few seconds' notice while a long answer runs on it. The
-// answer must be completed, with few recomputed tokens because its KV cache is moved.
+// The VM of an engine is reclaimed with a few seconds' notice while a long answer runs on it; the
+// engine stops at the end of the notice. The answer must be completed, with few recomputed tokens
+// because its KV cache is moved.
 #[tokio::test(flavor = "multi_thread")]
 async fn reclaimed_engine_moves_cache() {
     let options = TestbedOptions { nodes: 2, engines: 4, ..TestbedOptions::default() };
