--- a/crates/daemon/src/callers/identify.rs
+++ b/crates/daemon/src/callers/identify.rs
@@ -37,13 +37,13 @@
     }
 }
 
-// If a header is repeated, a proxy in front of the node may evaluate another one of the two than
-// the node does and attribute the request to another team. Such a request is refused.
+// If a header occurs twice, a proxy in front of the node may use one value and the node the other,
+// and they attribute the request to different teams. Such a request is refused.
 fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, ApiError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        let message = format!("the header {name} is present more than once");
+        let message = format!("the header {name} stands more than once");
         return Err(ApiError::not_run(ApiCode::InvalidValue, message));
     }
     value.to_str().map(Some).map_err(|_| unknown_team())
@@ -83,8 +83,5 @@
 }
 
 fn unknown_team() -> ApiError {
-    ApiError::not_run(
-        ApiCode::UnknownKey,
-        "the request does not identify a team of this deployment",
-    )
+    ApiError::not_run(ApiCode::UnknownKey, "the request names no team of this deployment")
 }
