--- a/crates/cli/src/commands/requests.rs
+++ b/crates/cli/src/commands/requests.rs
@@ -52,7 +52,7 @@
             status.team.to_string(),
             status.model.to_string(),
             status.class.to_string(),
-            status.state.word().to_owned(),
+            status.state.as_str().to_owned(),
             status.tokens.to_string(),
         ]
     });
--- a/crates/daemon/src/callers/observe.rs
+++ b/crates/daemon/src/callers/observe.rs
@@ -60,7 +60,7 @@
         let class = default_class.and_then(|default_class| {
             find_class(&in_force.deployment, parts, default_class).map(|(class, _)| class).ok()
         });
-        cx.meters.shift(Metric::InFlight, 1.0);
+        cx.meters.add(Metric::InFlight, 1.0);
         Observation { cx: Arc::clone(cx), team, class, started: Instant::now(), outcome: None }
     }
 
@@ -105,7 +105,7 @@
         let meters = &self.cx.meters;
         let outcome = self.outcome.unwrap_or("abandoned");
         let labels = [("team", self.team()), ("class", self.class())];
-        meters.shift(Metric::InFlight, -1.0);
+        meters.add(Metric::InFlight, -1.0);
         meters.time(Metric::RequestSeconds, &labels, self.started.elapsed());
         let [team, class] = labels;
         meters.count(Metric::Requests, &[team, class, ("outcome", outcome)], 1);
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -59,7 +59,7 @@
 }
 
 /// Buys and releases VMs while this node holds the duty.
-pub async fn follow(cx: Arc<Context>) {
+pub async fn run(cx: Arc<Context>) {
     let Some(address) = cx.settings.platform.cloud else { return };
     let Some(key_value) = cx.key_value_for(Purpose::Fleet) else { return };
     let mut task: Option<DutyTask> = None;
--- a/crates/daemon/src/meters/recorder.rs
+++ b/crates/daemon/src/meters/recorder.rs
@@ -64,7 +64,7 @@
     }
 
     /// Adds to a gauge.
-    pub fn shift(&self, metric: Metric, by: f64) {
+    pub fn add(&self, metric: Metric, by: f64) {
         self.recorder.register_gauge(&key(metric, &[]), &METADATA).increment(by);
     }
 
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -162,7 +162,7 @@
             tokio::spawn(run_metrics_upkeep(Arc::clone(&cx))),
             tokio::spawn(certificates::follow(tls)),
             tokio::spawn(loads::follow(Arc::clone(&cx))),
-            tokio::spawn(fleet::follow(Arc::clone(&cx))),
+            tokio::spawn(fleet::run(Arc::clone(&cx))),
             tokio::spawn(discovery::follow(Arc::clone(&cx))),
             tokio::spawn(discovery::close_leaving(Arc::clone(&cx))),
         ];
--- a/crates/daemon/src/operators/request_status.rs
+++ b/crates/daemon/src/operators/request_status.rs
@@ -51,8 +51,8 @@
 }
 
 impl RequestState {
-    /// Returns the state as a word for people.
-    pub fn word(self) -> &'static str {
+    /// Returns the name of the state as it is shown to operators.
+    pub fn as_str(self) -> &'static str {
         match self {
             RequestState::Waiting => "waiting",
             RequestState::Running => "running",
