--- a/crates/daemon/src/config_watch.rs
+++ b/crates/daemon/src/config_watch.rs
@@ -20,7 +20,7 @@
 const WATCHERS: usize = 2;
 /// The duration of one watch; shorter than the timeout of a call.
 const WATCH_WAIT: Duration = Duration::from_secs(3);
-/// The poll interval of a node that does not watch, and the base of the backoff.
+/// The pause of a node that does not watch or has no configuration yet, and the base of the backoff.
 const PAUSE: Duration = Duration::from_millis(250);
 /// The maximum backoff after consecutive failures.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
--- a/crates/daemon/src/loads.rs
+++ b/crates/daemon/src/loads.rs
@@ -77,8 +77,8 @@
     let load = load.ok().and_then(Result::ok);
     let mut events = Vec::new();
     if load.is_some() {
-        let answer = tokio::time::timeout(REPORT_TIMEOUT, engine.cache_events(after)).await;
-        events = answer.ok().and_then(Result::ok).unwrap_or_default();
+        let events_reply = tokio::time::timeout(REPORT_TIMEOUT, engine.cache_events(after)).await;
+        events = events_reply.ok().and_then(Result::ok).unwrap_or_default();
     }
     EngineReport { service, key, load, events }
 }
--- a/crates/daemon/src/membership_actor.rs
+++ b/crates/daemon/src/membership_actor.rs
@@ -27,7 +27,7 @@
 const JOIN_PAUSE: Duration = Duration::from_millis(250);
 /// The maximum pause between two join messages to a seed address that doesn't answer.
 const JOIN_PAUSE_MAX: Duration = Duration::from_secs(10);
-/// The minimum pause between two periodic publications of the member list.
+/// The time after which the member list is published again if no received message has caused it.
 const PUBLISH_PAUSE: Duration = Duration::from_millis(100);
 
 /// A `MembershipActor` is the actor with the membership state machine of one node.
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -249,7 +249,7 @@
     }
 }
 
-/// Puts a validated configuration revision in force at this node.
+/// Puts a configuration revision in force at this node unless its text is invalid.
 pub(crate) async fn put_in_force(cx: &Context, revision: Revision, text: &[u8]) {
     let text = String::from_utf8_lossy(text);
     let deployment = match parse_deployment(HEAD_KEY, &text) {
--- a/crates/daemon/src/notices.rs
+++ b/crates/daemon/src/notices.rs
@@ -29,17 +29,19 @@
 const LIST_PAUSE: Duration = Duration::from_secs(3);
 /// The pause between two anti-entropy exchanges with another node.
 const EXCHANGE_PAUSE: Duration = Duration::from_secs(2);
-/// The fraction of exchanges with a node of any zone instead of the own one.
+/// The fraction of exchanges with a node of any zone instead of this node's zone.
 const OTHER_ZONE_SHARE: f64 = 0.25;
 /// The number of nodes in other zones to which new notices are sent at once.
 const OTHER_ZONE_RECIPIENTS: usize = 2;
 
-/// A `LeavingVms` is a message with leaving VMs; the reply contains those that the sender doesn't know.
+/// A `LeavingVms` is a message with leaving VMs.
+///
+/// If the receiver's hash differs, the reply contains the other VMs that it knows to be leaving.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeavingVms {
     /// The leaving VMs that the sender reports.
     pub vms: Vec<VmName>,
-    /// A hash of all VMs that the sender knows to be leaving.
+    /// The hash of all VMs that the sender knows to be leaving.
     pub hash: u64,
 }
 
--- a/crates/daemon/src/operators/port.rs
+++ b/crates/daemon/src/operators/port.rs
@@ -33,7 +33,7 @@
         OperatorPort { cx }
     }
 
-    async fn answer(&self, method: &Method, path: &str) -> Response<Body> {
+    async fn respond(&self, method: &Method, path: &str) -> Response<Body> {
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match (method.as_str(), segments.as_slice()) {
             ("GET", ["healthz"]) => text(StatusCode::OK, "ok\n"),
@@ -64,9 +64,9 @@
 
     async fn metrics(&self) -> Response<Body> {
         self.cx.meters.sample(&self.cx).await;
-        let mut answer = text(StatusCode::OK, &self.cx.meters.render());
-        answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(METRICS_TYPE));
-        answer
+        let mut response = text(StatusCode::OK, &self.cx.meters.render());
+        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(METRICS_TYPE));
+        response
     }
 
     fn request(&self, id: &str) -> Response<Body> {
@@ -82,7 +82,7 @@
 
 impl Handler for OperatorPort {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        Box::pin(async move { self.answer(req.method(), req.uri().path()).await })
+        Box::pin(async move { self.respond(req.method(), req.uri().path()).await })
     }
 }
 
@@ -90,14 +90,14 @@
     let Ok(bytes) = serde_json::to_vec(value) else {
         return text(StatusCode::INTERNAL_SERVER_ERROR, "the answer could not be written\n");
     };
-    let mut answer = Response::new(full(bytes));
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    answer
+    let mut response = Response::new(full(bytes));
+    *response.status_mut() = status;
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
 }
 
 fn text(status: StatusCode, text: &str) -> Response<Body> {
-    let mut answer = Response::new(full(text.to_owned()));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(full(text.to_owned()));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -67,14 +67,14 @@
         let malformed = || CallError::not_done(CallFault::Malformed);
         let bytes = rmp_serde::to_vec_named(&envelope).map_err(|_| malformed())?;
         let req = Request::post(M::PATH).body(Full::new(Bytes::from(bytes)));
-        let answer = self.endpoint(address).send(req.map_err(|_| malformed())?).await?;
+        let response = self.endpoint(address).send(req.map_err(|_| malformed())?).await?;
 
-        let status = answer.status();
+        let status = response.status();
         if status != StatusCode::OK {
             return Err(CallError::not_done(CallFault::Refused { status: status.as_u16() }));
         }
         let reply =
-            read_with_timeouts(answer.into_body(), MESSAGE_LIMIT, REPLY_BODY_TIMEOUTS).await;
+            read_with_timeouts(response.into_body(), MESSAGE_LIMIT, REPLY_BODY_TIMEOUTS).await;
         let reply = reply.map_err(|error| CallError::unknown(error.into()))?;
         let reply: Envelope<M::Reply> =
             rmp_serde::from_slice(&reply).map_err(|_| CallError::unknown(CallFault::Malformed))?;
--- a/crates/daemon/src/peers/port.rs
+++ b/crates/daemon/src/peers/port.rs
@@ -57,7 +57,7 @@
         self.handlers.insert(M::PATH, Arc::new(typed));
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Response<Body> {
+    async fn respond(&self, req: Request<Incoming>) -> Response<Body> {
         if req.method() != Method::POST {
             return refuse(StatusCode::METHOD_NOT_ALLOWED);
         }
@@ -110,12 +110,12 @@
             }
             false => Span::none(),
         };
-        Box::pin(async move { self.answer(req).await }.instrument(span))
+        Box::pin(async move { self.respond(req).await }.instrument(span))
     }
 }
 
 fn refuse(status: StatusCode) -> Response<Body> {
-    let mut answer = Response::new(empty());
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(empty());
+    *response.status_mut() = status;
+    response
 }
--- a/crates/daemon/src/route_metrics.rs
+++ b/crates/daemon/src/route_metrics.rs
@@ -48,12 +48,12 @@
 
 impl Handler for MetricsPort {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
-        let mut answer = Response::new(empty());
+        let mut response = Response::new(empty());
         if req.uri().path() == PATH {
-            answer = Response::new(full(self.handle.render()));
+            response = Response::new(full(self.handle.render()));
         } else {
-            *answer.status_mut() = StatusCode::NOT_FOUND;
+            *response.status_mut() = StatusCode::NOT_FOUND;
         }
-        Box::pin(async move { answer })
+        Box::pin(async move { response })
     }
 }
--- a/crates/daemon/src/telemetry/collector.rs
+++ b/crates/daemon/src/telemetry/collector.rs
@@ -17,9 +17,9 @@
 /// The path at which a collector accepts spans.
 const SPANS_PATH: &str = "/v1/traces";
 /// The maximum size of a collector's response, in bytes.
-const ANSWER_LIMIT: usize = 1 << 20;
+const RESPONSE_LIMIT: usize = 1 << 20;
 /// The timeout of an export.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A `CollectorError` is the reason why spans cannot be exported.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
 /// Returns a tracer provider that samples the given fraction of traces and exports them to `collector`.
 pub fn provider(collector: SocketAddr, share: f64) -> Result<SdkTracerProvider, CollectorError> {
     let options =
-        EndpointOptions { response_timeout: ANSWER_TIMEOUT, ..EndpointOptions::default() };
+        EndpointOptions { response_timeout: RESPONSE_TIMEOUT, ..EndpointOptions::default() };
     let endpoint = Arc::new(Endpoint::new(collector, options));
     let client = CollectorClient { endpoint, runtime: Handle::current() };
     let exporter = SpanExporter::builder()
@@ -42,7 +42,7 @@
         .with_http_client(client)
         .with_protocol(Protocol::HttpBinary)
         .with_endpoint(format!("http://{collector}{SPANS_PATH}"))
-        .with_timeout(ANSWER_TIMEOUT)
+        .with_timeout(RESPONSE_TIMEOUT)
         .build()
         .map_err(|error| CollectorError(error.to_string()))?;
     let sampler = Sampler::ParentBased(Box::new(Sampler::TraceIdRatioBased(share)));
@@ -89,8 +89,8 @@
     let (mut parts, body) = request.into_parts();
     // The endpoint connects to a fixed address, so the request line contains only the path.
     parts.uri = SPANS_PATH.parse()?;
-    let answer = endpoint.send(Request::from_parts(parts, Full::new(body))).await?;
-    let (parts, body) = answer.into_parts();
-    let body = read_limited(body, ANSWER_LIMIT, ANSWER_TIMEOUT).await?;
+    let response = endpoint.send(Request::from_parts(parts, Full::new(body))).await?;
+    let (parts, body) = response.into_parts();
+    let body = read_limited(body, RESPONSE_LIMIT, RESPONSE_TIMEOUT).await?;
     Ok(Response::from_parts(parts, body))
 }
--- a/crates/daemon/src/telemetry/lines.rs
+++ b/crates/daemon/src/telemetry/lines.rs
@@ -18,7 +18,8 @@
 /// `Lines` are a writer of log lines that never blocks.
 ///
 /// If the reader of the process's output stops, a direct write would block, and with it the request that
-/// is being logged. Lines beyond the bound are dropped and counted instead.
+/// is being logged: callers would see a node that hangs. Lines beyond the bound are dropped and counted
+/// instead.
 #[derive(Clone)]
 pub struct Lines {
     sender: SyncSender<Vec<u8>>,
--- a/crates/daemon/tests/metrics_page.rs
+++ b/crates/daemon/tests/metrics_page.rs
@@ -64,7 +64,7 @@
     }
 }
 
-// An alert on a metric that does not exist never fires, which nobody would notice.
+// An alert on a metric that does not exist never fires, which nobody would notice until it is needed.
 #[test]
 fn alerts_use_known_metrics() {
     let rules = read("docs/operations/alerts.yml");
--- a/crates/daemon/tests/tls_ports.rs
+++ b/crates/daemon/tests/tls_ports.rs
@@ -72,7 +72,7 @@
     }
 }
 
-async fn protected_nodes(files: &TlsFiles, nodes: usize) -> Testbed {
+async fn start_tls_nodes(files: &TlsFiles, nodes: usize) -> Testbed {
     let tls = TlsSettings {
         certificate: Some(files.certificate.clone()),
         key: Some(files.key.clone()),
@@ -102,7 +102,7 @@
     let authority = Authority::new();
     authority.sign(&files);
     authority.sign(&operator);
-    let testbed = protected_nodes(&files, 2).await;
+    let testbed = start_tls_nodes(&files, 2).await;
 
     let all_joined = async {
         while testbed.nodes.iter().any(|node| node.context().members.current().len() != 1) {
@@ -128,7 +128,7 @@
     Authority::new().sign(&attacker);
     // The attacker's client trusts the nodes' CA, so that only the nodes' own check can refuse it.
     fs::copy(&files.authority, &attacker.authority).expect("a copied authority");
-    let testbed = protected_nodes(&files, 1).await;
+    let testbed = start_tls_nodes(&files, 1).await;
 
     let node = &testbed.nodes[0];
     let peers = node.context().settings.node.peers;
@@ -147,7 +147,7 @@
     let directory = Directory::new("changed");
     let (files, operator) = (directory.files("node"), directory.files("operator"));
     Authority::new().sign(&files);
-    let testbed = protected_nodes(&files, 1).await;
+    let testbed = start_tls_nodes(&files, 1).await;
     let operators = testbed.nodes[0].operators();
 
     let second = Authority::new();
@@ -194,7 +194,7 @@
     let directory = Directory::new("silent");
     let files = directory.files("node");
     Authority::new().sign(&files);
-    let testbed = protected_nodes(&files, 1).await;
+    let testbed = start_tls_nodes(&files, 1).await;
     let callers = testbed.nodes[0].callers();
     let mut silent = Vec::new();
     for _ in 0..20 {
