--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -32,7 +32,7 @@
     settings::Settings,
 };
 
-/// How long a node without contact to the key-value service or any peer still gives addresses to callers.
+/// How long a node without contact with the key-value service or any peer still gives addresses to callers.
 const ISOLATED_AFTER: Duration = Duration::from_secs(6);
 
 /// The capacity that a node advertises until it has computed its load.
@@ -83,7 +83,7 @@
     pub peers: PeerClient,
     /// The highest configuration revision that any message reported.
     pub highest_revision: watch::Sender<Revision>,
-    /// The VMs of nodes and backend servers that are known to be leaving; entries are never removed.
+    /// The VMs of nodes and backend servers that are known to be leaving; no later report removes an entry.
     pub leaving_vms: ArcSwap<BTreeSet<VmName>>,
     pub(crate) notices: Mutex<Notices>,
     pub(crate) leaving_updates: mpsc::UnboundedSender<Vec<VmName>>,
--- a/crates/daemon/src/operators/status.rs
+++ b/crates/daemon/src/operators/status.rs
@@ -24,7 +24,7 @@
     pub highest_revision: Revision,
     /// Whether it refuses new work.
     pub leaving: bool,
-    /// Whether it has contact neither to the key-value service nor to another node.
+    /// Whether it has contact neither with the key-value service nor with another node.
     pub isolated: bool,
     /// The number of model requests that it has accepted and not finished.
     pub unfinished: usize,
--- a/crates/daemon/tests/cluster_state.rs
+++ b/crates/daemon/tests/cluster_state.rs
@@ -153,7 +153,7 @@
     assert!((reads as f64) < allowed, "{reads} reads in {seconds} s");
 }
 
-// A node has contact neither to the key-value service nor to any other node. It can't know whether its
+// A node has contact neither with the key-value service nor with any other node. It can't know whether its
 // configuration is still in force, so it must give no addresses to callers until it has contact again.
 #[tokio::test(flavor = "multi_thread")]
 async fn isolated_node_gives_no_addresses() {
