--- a/crates/bench/src/bin/capacity.rs
+++ b/crates/bench/src/bin/capacity.rs
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-fn record(slopes: &mut Slopes, measured: Vec<measure::Named>) -> io::Result<()> {
+fn record(slopes: &mut Slopes, measured: Vec<measure::NamedSlope>) -> io::Result<()> {
     for (name, slope) in measured {
         let (each, fixed, fit) = (slope.each, slope.fixed, slope.fit);
         let (value, size) = (&slope.value, &slope.size);
--- a/crates/bench/src/capacity/measure/control.rs
+++ b/crates/bench/src/capacity/measure/control.rs
@@ -8,7 +8,7 @@
     TestbedOptions,
     capacity::{
         Point, Slope,
-        measure::{Measured, Named, process_testbed::ProcessTestbed},
+        measure::{MeasureResult, NamedSlope, process_testbed::ProcessTestbed},
     },
 };
 
@@ -25,7 +25,7 @@
 
 /// Measures the processor time and memory of an idle node, and the calls of all nodes to the
 /// key-value service, against the number of nodes.
-pub async fn measure() -> Measured<Vec<Named>> {
+pub async fn measure() -> MeasureResult<Vec<NamedSlope>> {
     let (mut processor, mut memory) = (Vec::new(), Vec::new());
     let (mut reads, mut writes, mut watches) = (Vec::new(), Vec::new(), Vec::new());
     for nodes in NODES {
@@ -60,7 +60,7 @@
 }
 
 /// Measures the processor time of an idle node against the number of engines that it polls.
-pub async fn engines() -> Measured<Vec<Named>> {
+pub async fn engines() -> MeasureResult<Vec<NamedSlope>> {
     let mut points = Vec::new();
     for engines in ENGINES {
         let cluster =
--- a/crates/bench/src/capacity/measure/decision.rs
+++ b/crates/bench/src/capacity/measure/decision.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 use slotmap::SlotMap;
 
-use crate::capacity::{Point, Slope, measure::Named};
+use crate::capacity::{Point, Slope, measure::NamedSlope};
 
 /// The numbers of workers.
 const WORKERS: [usize; 6] = [4, 16, 64, 215, 430, 860];
@@ -23,7 +23,7 @@
 const LENGTH: Duration = Duration::from_millis(150);
 
 /// Measures the microseconds of one placement decision against the number of workers.
-pub fn measure() -> Vec<Named> {
+pub fn measure() -> Vec<NamedSlope> {
     let mut points = Vec::new();
     for count in WORKERS {
         let mut keys: SlotMap<WorkerKey, ()> = SlotMap::with_key();
--- a/crates/bench/src/capacity/measure/mod.rs
+++ b/crates/bench/src/capacity/measure/mod.rs
@@ -12,17 +12,17 @@
 use crate::capacity::Slope;
 
 /// The result of a measurement; its errors end the program.
-pub type Measured<T> = Result<T, Box<dyn error::Error + Send + Sync>>;
+pub type MeasureResult<T> = Result<T, Box<dyn error::Error + Send + Sync>>;
 
 /// A named slope.
-pub type Named = (&'static str, Slope);
+pub type NamedSlope = (&'static str, Slope);
 
 /// The groups of measurements, in the order in which they run.
 pub const GROUPS: [&str; 7] =
     ["codec", "decision", "orders", "requests", "streams", "kept", "control"];
 
 /// Runs the measurements of a group one after the other; an unknown group has none.
-pub async fn group(name: &str) -> Measured<Vec<Named>> {
+pub async fn group(name: &str) -> MeasureResult<Vec<NamedSlope>> {
     match name {
         "codec" => codec::measure(),
         "decision" => Ok(decision::measure()),
--- a/crates/bench/src/capacity/measure/orders.rs
+++ b/crates/bench/src/capacity/measure/orders.rs
@@ -7,7 +7,7 @@
     TestbedOptions,
     capacity::{
         Point, Slope,
-        measure::{Measured, Named, process_testbed::ProcessTestbed},
+        measure::{MeasureResult, NamedSlope, process_testbed::ProcessTestbed},
     },
     testbed::LEDGER,
 };
@@ -17,7 +17,7 @@
 
 /// Measures the writes to the key-value service against the number of calls, each of which has its
 /// own idempotency key.
-pub async fn measure() -> Measured<Vec<Named>> {
+pub async fn measure() -> MeasureResult<Vec<NamedSlope>> {
     let cluster = ProcessTestbed::start(1, TestbedOptions::default()).await?;
     let caller = cluster.caller();
     let path = format!("/v1/services/{LEDGER}/orders");
--- a/crates/bench/src/capacity/measure/process_testbed.rs
+++ b/crates/bench/src/capacity/measure/process_testbed.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     Caller, Testbed, TestbedOptions,
-    capacity::{NodeChild, measure::Measured},
+    capacity::{NodeChild, measure::MeasureResult},
     testbed::MODEL,
 };
 
@@ -27,7 +27,7 @@
 
 impl ProcessTestbed {
     /// Starts simulated servers and nodes and waits until all nodes serve the model.
-    pub async fn start(nodes: usize, options: TestbedOptions) -> Measured<ProcessTestbed> {
+    pub async fn start(nodes: usize, options: TestbedOptions) -> MeasureResult<ProcessTestbed> {
         let testbed = Testbed::start(TestbedOptions { nodes: 0, ..options }).await?;
         let mut cluster = ProcessTestbed { testbed, nodes: Vec::new() };
         for at in 0..nodes {
@@ -36,7 +36,7 @@
             cluster.nodes.push(NodeChild::start(cluster.testbed.kv.address(), at, zone, &seeds)?);
         }
         for node in &cluster.nodes {
-            wait(node).await?;
+            wait_until_ready(node).await?;
         }
         Ok(cluster)
     }
@@ -47,7 +47,7 @@
     }
 }
 
-async fn wait(node: &NodeChild) -> Measured<()> {
+async fn wait_until_ready(node: &NodeChild) -> MeasureResult<()> {
     let caller = Caller::new(node.callers(), "workshop");
     let deadline = Instant::now() + READY_TIMEOUT;
     while Instant::now() < deadline {
--- a/crates/bench/src/capacity/measure/relay.rs
+++ b/crates/bench/src/capacity/measure/relay.rs
@@ -20,7 +20,7 @@
     Caller, TestbedOptions,
     capacity::{
         NodeChild, Point, Slope, Usage,
-        measure::{Measured, Named, process_testbed::ProcessTestbed},
+        measure::{MeasureResult, NamedSlope, process_testbed::ProcessTestbed},
     },
     testbed::MODEL,
 };
@@ -55,7 +55,7 @@
 
 /// Measures the processor time and memory of the owner of streams, of the holder of their copies,
 /// and of an owner without a peer to copy to, against relayed tokens and open streams.
-pub async fn streams() -> Measured<Vec<Named>> {
+pub async fn streams() -> MeasureResult<Vec<NamedSlope>> {
     let mut alone = Vec::new();
     for streams in STREAMS {
         alone.push(run(1, streams).await?);
@@ -78,7 +78,7 @@
     ])
 }
 
-async fn run(nodes: usize, streams: usize) -> Measured<Run> {
+async fn run(nodes: usize, streams: usize) -> MeasureResult<Run> {
     let engines = streams.div_ceil(STREAMS_PER_ENGINE);
     let cluster = ProcessTestbed::start(nodes, options(engines, 1.0)).await?;
     sleep(SETTLE).await;
@@ -116,7 +116,7 @@
 }
 
 /// Measures a node's processor time against the number of short requests.
-pub async fn requests() -> Measured<Vec<Named>> {
+pub async fn requests() -> MeasureResult<Vec<NamedSlope>> {
     let cluster = ProcessTestbed::start(1, options(2, 20.0)).await?;
     let mut points = Vec::new();
     for requests in REQUESTS {
@@ -130,7 +130,7 @@
 
 /// Measures a node's memory against the number of finished answers that it retains for late
 /// readers.
-pub async fn kept_answers() -> Measured<Vec<Named>> {
+pub async fn kept_answers() -> MeasureResult<Vec<NamedSlope>> {
     let cluster = ProcessTestbed::start(1, options(8, 50.0)).await?;
     send_requests(&cluster, CONCURRENCY, KEPT_TOKENS).await?;
     let before = cluster.nodes[0].usage();
@@ -157,7 +157,11 @@
     TestbedOptions { engines, engine, ..TestbedOptions::default() }
 }
 
-async fn send_requests(cluster: &ProcessTestbed, requests: usize, max_tokens: u32) -> Measured<()> {
+async fn send_requests(
+    cluster: &ProcessTestbed,
+    requests: usize,
+    max_tokens: u32,
+) -> MeasureResult<()> {
     let mut open = JoinSet::new();
     for part in 0..CONCURRENCY {
         let caller = cluster.caller();
--- a/crates/bench/src/capacity/process.rs
+++ b/crates/bench/src/capacity/process.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The first argument that makes the program run as a node.
-const NODE_WORD: &str = "node";
+const NODE_ARGUMENT: &str = "node";
 /// The concurrent answers per engine; high enough that requests never queue for a free slot while
 /// they are measured.
 const ANSWERS_PER_ENGINE: usize = 64;
@@ -52,7 +52,7 @@
     ) -> io::Result<NodeChild> {
         let seeds: Vec<String> = seeds.iter().map(SocketAddr::to_string).collect();
         let mut child = Command::new(std::env::current_exe()?)
-            .args([NODE_WORD, &kv.to_string(), &at.to_string(), zone, &seeds.join(",")])
+            .args([NODE_ARGUMENT, &kv.to_string(), &at.to_string(), zone, &seeds.join(",")])
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
@@ -91,8 +91,8 @@
 ///
 /// Returns whether they are.
 pub async fn serve_node(args: &[String]) -> io::Result<bool> {
-    let [word, kv, at, zone, seeds] = args else { return Ok(false) };
-    if word != NODE_WORD {
+    let [first, kv, at, zone, seeds] = args else { return Ok(false) };
+    if first != NODE_ARGUMENT {
         return Ok(false);
     }
     let invalid = || io::Error::from(io::ErrorKind::InvalidInput);
--- a/crates/bench/src/check/answers.rs
+++ b/crates/bench/src/check/answers.rs
@@ -4,7 +4,7 @@
 use bulrushhall_standin::engine::expected_answer;
 
 use crate::{
-    check::{Broken, Violation},
+    check::{Violation, ViolationKind},
     load::{Kind, Outcome, Record},
 };
 
@@ -20,7 +20,7 @@
             continue;
         }
         let seen = format!("{:?}, code {:?}", record.outcome, record.code);
-        violations.push(Violation::new(Broken::AcceptedLost, subject(record), seen));
+        violations.push(Violation::new(ViolationKind::AcceptedLost, subject(record), seen));
     }
     violations
 }
@@ -33,17 +33,17 @@
     for record in records.iter().filter(|record| is_model(record)) {
         if 0 < record.skipped || 0 < record.duplicated {
             let seen = format!("{} skipped, {} twice", record.skipped, record.duplicated);
-            violations.push(Violation::new(Broken::NotWhole, subject(record), seen));
+            violations.push(Violation::new(ViolationKind::NotWhole, subject(record), seen));
         }
         let expected = expected_answer(&format!("user: {}\n", record.prompt), record.max_tokens);
         if !expected.starts_with(&record.text) {
             let seen = format!("read {:?}", excerpt(&record.text));
-            violations.push(Violation::new(Broken::NotOwn, subject(record), seen));
+            violations.push(Violation::new(ViolationKind::NotOwn, subject(record), seen));
             continue;
         }
         if record.outcome == Outcome::Finished && expected.len() != record.text.len() {
             let seen = format!("{} of {} bytes", record.text.len(), expected.len());
-            violations.push(Violation::new(Broken::NotWhole, subject(record), seen));
+            violations.push(Violation::new(ViolationKind::NotWhole, subject(record), seen));
         }
     }
     violations
@@ -58,7 +58,7 @@
             continue;
         }
         let seen = format!("{:?}, {} reconnects", record.outcome, record.reconnects);
-        violations.push(Violation::new(Broken::CutByStop, subject(record), seen));
+        violations.push(Violation::new(ViolationKind::CutByStop, subject(record), seen));
     }
     violations
 }
--- a/crates/bench/src/check/config.rs
+++ b/crates/bench/src/check/config.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_core::{NodeName, Revision};
 
-use crate::check::{Broken, Violation};
+use crate::check::{Violation, ViolationKind};
 
 /// An `Observation` is the configuration revision that a node had in force at one time.
 #[derive(Clone, Debug)]
@@ -33,14 +33,14 @@
         let before = highest.entry(node).or_default();
         if *revision < *before {
             let seen = format!("revision {revision} after {before}");
-            violations.push(Violation::new(Broken::ConfigReverted, node.as_str(), seen));
+            violations.push(Violation::new(ViolationKind::ConfigReverted, node.as_str(), seen));
         }
         *before = (*before).max(*revision);
         let due = accepted.iter().filter(|(_, accepted)| *accepted + bound <= *at);
         let due = due.map(|(revision, _)| *revision).max().unwrap_or_default();
         if *revision < due {
             let seen = format!("revision {revision} where {due} was due");
-            violations.push(Violation::new(Broken::ConfigLate, node.as_str(), seen));
+            violations.push(Violation::new(ViolationKind::ConfigLate, node.as_str(), seen));
         }
     }
     violations
--- a/crates/bench/src/check/leaving.rs
+++ b/crates/bench/src/check/leaving.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_core::VmName;
 
-use crate::check::{Broken, Violation};
+use crate::check::{Violation, ViolationKind};
 
 /// A `WorkSample` is the number of requests that a VM had received at one time.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
         }
         let seen =
             format!("{} requests more than at the end of the grace", later.given - first.given);
-        violations.push(Violation::new(Broken::WorkWhileLeaving, later.vm.as_str(), seen));
+        violations.push(Violation::new(ViolationKind::WorkWhileLeaving, later.vm.as_str(), seen));
     }
     violations
 }
--- a/crates/bench/src/check/mod.rs
+++ b/crates/bench/src/check/mod.rs
@@ -13,7 +13,7 @@
 pub use config::{Observation, spreads_and_never_reverts};
 pub use leaving::{WorkSample, no_new_work};
 pub use orders::{at_most_once, refused_calls_did_not_run};
-pub use violation::{Broken, Violation};
+pub use violation::{Violation, ViolationKind};
 
 use bulrushhall_standin::service::ServiceCounts;
 
--- a/crates/bench/src/check/orders.rs
+++ b/crates/bench/src/check/orders.rs
@@ -4,7 +4,7 @@
 use bulrushhall_standin::service::ServiceCounts;
 
 use crate::{
-    check::{Broken, Violation},
+    check::{Violation, ViolationKind},
     load::{Outcome, Record},
 };
 
@@ -13,14 +13,14 @@
     let mut violations = Vec::new();
     for (key, runs) in &counts.runs {
         if 1 < *runs {
-            violations.push(Violation::new(Broken::RanTwice, key, format!("{runs} runs")));
+            violations.push(Violation::new(ViolationKind::RanTwice, key, format!("{runs} runs")));
         }
     }
     for record in records {
         let Some(key) = &record.key else { continue };
         let reported_run = record.outcome == Outcome::Finished || record.ran == Ran::Yes;
         if reported_run && !counts.runs.contains_key(key) {
-            violations.push(Violation::new(Broken::NeverRan, key, "answered as run"));
+            violations.push(Violation::new(ViolationKind::NeverRan, key, "answered as run"));
         }
     }
     violations
@@ -28,7 +28,7 @@
 
 /// Checks that calls that were refused and reported as not run did not run.
 ///
-/// Must be called only after all calls have ended: a call that runs later would be missed.
+/// Must be called only when no call can run any more: one that runs later would be missed.
 pub fn refused_calls_did_not_run(records: &[Record], counts: &ServiceCounts) -> Vec<Violation> {
     let mut violations = Vec::new();
     for record in records {
@@ -39,7 +39,7 @@
         }
         let Some(runs) = counts.runs.get(key) else { continue };
         let seen = format!("{runs} runs, code {:?}", record.code);
-        violations.push(Violation::new(Broken::RanThoughRefused, key, seen));
+        violations.push(Violation::new(ViolationKind::RanThoughRefused, key, seen));
     }
     violations
 }
--- a/crates/bench/src/check/violation.rs
+++ b/crates/bench/src/check/violation.rs
@@ -4,10 +4,10 @@
 
 use serde::Serialize;
 
-/// A `Broken` is the guarantee that was violated.
+/// A `ViolationKind` is the way in which a guarantee was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Broken {
+pub enum ViolationKind {
     /// An accepted request did not end.
     AcceptedLost,
     /// An answer has duplicate or missing events.
@@ -33,8 +33,8 @@
 /// A `Violation` is one case in which a guarantee was violated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The guarantee.
-    pub broken: Broken,
+    /// The kind of violation.
+    pub broken: ViolationKind,
     /// What it concerns: a request's number and id, an idempotency key, a VM or a node.
     pub subject: String,
     /// What was observed.
@@ -42,8 +42,12 @@
 }
 
 impl Violation {
-    /// Returns a violation of the guarantee `broken`.
-    pub fn new(broken: Broken, subject: impl Into<String>, seen: impl Into<String>) -> Violation {
+    /// Returns a violation of the kind `broken`.
+    pub fn new(
+        broken: ViolationKind,
+        subject: impl Into<String>,
+        seen: impl Into<String>,
+    ) -> Violation {
         Violation { broken, subject: subject.into(), seen: seen.into() }
     }
 }
--- a/crates/bench/src/scenario/environment.rs
+++ b/crates/bench/src/scenario/environment.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     Testbed, TestbedOptions,
-    check::{Broken, Violation, WorkSample, judge, no_new_work, planned_stop_cuts_nothing},
+    check::{Violation, ViolationKind, WorkSample, judge, no_new_work, planned_stop_cuts_nothing},
     load::{Outcome, Plan, PlanError, Record, Report, Session},
     scenario::{
         ScenarioError,
@@ -45,7 +45,7 @@
 }
 
 impl Environment {
-    /// Starts a deployment and waits until each node has all others as members.
+    /// Starts a deployment and waits until its membership has converged.
     pub async fn start(options: TestbedOptions) -> Result<Environment, ScenarioError> {
         let testbed = Testbed::start(options).await.map_err(testbed_error)?;
         let watch = RevisionWatch::start(&testbed.nodes);
@@ -63,8 +63,8 @@
         alive.map(Arc::clone).collect()
     }
 
-    /// Waits until each live node has exactly the other live nodes as members; returns the number
-    /// of live nodes.
+    /// Waits until each live node has as many members as there are other live nodes; returns the
+    /// number of live nodes.
     pub async fn wait_for_members(&self) -> Result<usize, ScenarioError> {
         let alive = self.alive();
         let others = alive.len().saturating_sub(1);
@@ -144,7 +144,7 @@
         Ok((sent, unfinished))
     }
 
-    /// Checks the promises that hold under all faults; returns their violations.
+    /// Checks the guarantees that hold under all faults; returns their violations.
     pub fn judge(&self) -> Vec<Violation> {
         let mut violations = judge(&self.records, &self.testbed.ledger.counts());
         violations.extend(self.watch.judge());
@@ -187,9 +187,10 @@
     }
 }
 
-/// Returns how often each promise was broken, as a text in which the promises keep their order.
+/// Returns the number of violations of each kind as a text, in a fixed order, so that equal counts
+/// always give the same text.
 pub fn summarize_violations(violations: &[Violation]) -> String {
-    let mut counts: BTreeMap<Broken, usize> = BTreeMap::new();
+    let mut counts: BTreeMap<ViolationKind, usize> = BTreeMap::new();
     for violation in violations {
         *counts.entry(violation.broken).or_default() += 1;
     }
--- a/crates/bench/tests/planted_faults.rs
+++ b/crates/bench/tests/planted_faults.rs
@@ -4,7 +4,7 @@
 
 use bulrushhall_bench::{
     check::{
-        Broken, Observation, WorkSample, accepted_requests_end, at_most_once,
+        Observation, ViolationKind, WorkSample, accepted_requests_end, at_most_once,
         complete_and_matching, judge, no_new_work, planned_stop_cuts_nothing,
         refused_calls_did_not_run, spreads_and_never_reverts,
     },
@@ -66,25 +66,25 @@
 #[case(Outcome::Failed, Some("backend_failed"))]
 fn accepted_lost(#[case] outcome: Outcome, #[case] code: Option<&str>) {
     let lost = Record { outcome, code: code.map(str::to_owned), ..chat() };
-    assert_eq!(accepted_requests_end(&[lost])[0].broken, Broken::AcceptedLost);
+    assert_eq!(accepted_requests_end(&[lost])[0].broken, ViolationKind::AcceptedLost);
 }
 
 #[rstest]
-#[case(Record { text: expected_answer("user: another\n", 16), ..chat() }, Broken::NotOwn)]
-#[case(Record { text: "clay".to_owned(), ..chat() }, Broken::NotOwn)]
+#[case(Record { text: expected_answer("user: another\n", 16), ..chat() }, ViolationKind::NotOwn)]
+#[case(Record { text: "clay".to_owned(), ..chat() }, ViolationKind::NotOwn)]
 #[case(Record { text: expected_answer("user: which kiln\n", 16)[..6].to_owned(), ..chat() },
-    Broken::NotWhole)]
-#[case(Record { duplicated: 1, ..chat() }, Broken::NotWhole)]
-#[case(Record { skipped: 1, ..chat() }, Broken::NotWhole)]
-fn wrong_answer(#[case] record: Record, #[case] broken: Broken) {
+    ViolationKind::NotWhole)]
+#[case(Record { duplicated: 1, ..chat() }, ViolationKind::NotWhole)]
+#[case(Record { skipped: 1, ..chat() }, ViolationKind::NotWhole)]
+fn wrong_answer(#[case] record: Record, #[case] broken: ViolationKind) {
     assert_eq!(complete_and_matching(&[record])[0].broken, broken);
 }
 
 #[test]
 fn ran_twice() {
     let records = [order(Outcome::Finished, Ran::Yes)];
-    assert_eq!(at_most_once(&records, &ran_times(2))[0].broken, Broken::RanTwice);
-    assert_eq!(at_most_once(&records, &ran_times(0))[0].broken, Broken::NeverRan);
+    assert_eq!(at_most_once(&records, &ran_times(2))[0].broken, ViolationKind::RanTwice);
+    assert_eq!(at_most_once(&records, &ran_times(0))[0].broken, ViolationKind::NeverRan);
 }
 
 #[test]
@@ -92,7 +92,7 @@
     let refused = [order(Outcome::Refused, Ran::No)];
     assert_eq!(
         refused_calls_did_not_run(&refused, &ran_times(1))[0].broken,
-        Broken::RanThoughRefused
+        ViolationKind::RanThoughRefused
     );
     assert_eq!(refused_calls_did_not_run(&refused, &ran_times(0)), []);
     let unknown = [order(Outcome::Refused, Ran::Unknown)];
@@ -103,7 +103,7 @@
 #[case(Record { outcome: Outcome::Cut, ..chat() })]
 #[case(Record { reconnects: 1, ..chat() })]
 fn cut_by_stop(#[case] record: Record) {
-    assert_eq!(planned_stop_cuts_nothing(&[record])[0].broken, Broken::CutByStop);
+    assert_eq!(planned_stop_cuts_nothing(&[record])[0].broken, ViolationKind::CutByStop);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let grace = Duration::from_secs(3);
     assert_eq!(no_new_work(&[sample(0, 5), sample(2, 9), sample(4, 9), sample(8, 9)], grace), []);
     let broken = no_new_work(&[sample(0, 5), sample(4, 9), sample(8, 10)], grace);
-    assert_eq!(broken[0].broken, Broken::WorkWhileLeaving);
+    assert_eq!(broken[0].broken, ViolationKind::WorkWhileLeaving);
 }
 
 #[test]
@@ -132,6 +132,6 @@
     let bound = Duration::from_secs(12);
     let check = |seen: &[Observation]| spreads_and_never_reverts(seen, &accepted, bound);
     assert_eq!(check(&[seen(1, 0), seen(12, 1), seen(31, 1), seen(32, 2)]), []);
-    assert_eq!(check(&[seen(32, 1)])[0].broken, Broken::ConfigLate);
-    assert_eq!(check(&[seen(21, 2), seen(22, 1)])[0].broken, Broken::ConfigReverted);
+    assert_eq!(check(&[seen(32, 1)])[0].broken, ViolationKind::ConfigLate);
+    assert_eq!(check(&[seen(21, 2), seen(22, 1)])[0].broken, ViolationKind::ConfigReverted);
 }
