--- a/crates/bench/src/bin/policy_report.rs
+++ b/crates/bench/src/bin/policy_report.rs
@@ -13,7 +13,7 @@
         .value_parser(value_parser!(PathBuf));
     let threads = Arg::new("threads")
         .long("threads")
-        .help("The threads that run at once")
+        .help("The number of threads that run simulations")
         .value_parser(value_parser!(usize));
     let command = Command::new("policy_report").about("Measures the policy and writes the report");
     let args = command.arg(directory).arg(threads).get_matches();
--- a/crates/bench/src/compare.rs
+++ b/crates/bench/src/compare.rs
@@ -13,7 +13,8 @@
     pub latency: f64,
     /// The microseconds by which a latency may increase in addition to the factor.
     pub slack_micros: u64,
-    /// The share of all requests by which refusals, failures and interruptions may increase.
+    /// The amount by which the shares of refused, failed and cut requests and the number of
+    /// duplicate events per request may increase.
     pub share: f64,
 }
 
--- a/crates/bench/src/load/plan.rs
+++ b/crates/bench/src/load/plan.rs
@@ -43,7 +43,7 @@
     pub silence: Duration,
     /// How long after a request's arrival its caller abandons it.
     pub patience: Duration,
-    /// The maximum number of retries after refusals.
+    /// The maximum number of retries of a request that was not accepted.
     pub retries: u32,
 }
 
--- a/crates/bench/src/load/report.rs
+++ b/crates/bench/src/load/report.rs
@@ -37,7 +37,7 @@
     pub accepted: u64,
     /// Those whose whole answer was received.
     pub finished: u64,
-    /// Those that were refused after all retries.
+    /// Those that were refused in the end, after any retries.
     pub refused: u64,
     /// Those that were accepted and failed.
     pub failed: u64,
@@ -75,7 +75,7 @@
 }
 
 impl Report {
-    /// Returns the report of a run of the given length.
+    /// Returns the report of a run from its records; `length` is the time that it took.
     pub fn new(plan: &Plan, length: Duration, records: Vec<Record>) -> Report {
         let mut by_kind: BTreeMap<Kind, Vec<&Record>> = BTreeMap::new();
         for record in records.iter().filter(|record| record.phase == Phase::Measured) {
--- a/crates/bench/src/load/runner.rs
+++ b/crates/bench/src/load/runner.rs
@@ -36,16 +36,11 @@
         let mut callers = Vec::new();
         for at in 0..plan.callers {
             let team = plan.teams[at % plan.teams.len()].clone();
-            // Callers start at different entries, as if each were configured with another one.
+            // Callers start at different entries, as if each were configured with a different one.
             let mut seeds = entries.clone();
             seeds.rotate_left(at % entries.len());
-            let addresses = EntryCache::new(team.clone(), seeds, plan.silence);
-            callers.push(Arc::new(SimulatedCaller::new(
-                team,
-                addresses,
-                Arc::clone(&plan),
-                started,
-            )));
+            let cache = EntryCache::new(team.clone(), seeds, plan.silence);
+            callers.push(Arc::new(SimulatedCaller::new(team, cache, Arc::clone(&plan), started)));
         }
         Ok(Session { plan, callers, started, arrivals, open: JoinSet::new() })
     }
--- a/crates/bench/src/load/simulated_caller.rs
+++ b/crates/bench/src/load/simulated_caller.rs
@@ -60,7 +60,7 @@
 
     /// Performs one request with its retries and returns what the caller observed.
     pub async fn perform(&self, arrival: Arrival) -> Record {
-        let mut record = self.blank(arrival);
+        let mut record = self.new_record(arrival);
         match record.kind {
             Kind::Chat | Kind::Patient => self.request_model(&mut record).await,
             Kind::Order | Kind::Lookup => self.call_service(&mut record).await,
@@ -162,7 +162,8 @@
     }
 
     // The caller reconnects to an accepted request until its time limit. A request that was not
-    // accepted is retried a limited number of times if it can be repeated.
+    // accepted is retried a limited number of times if it can be repeated and the error is
+    // transient.
     fn next_step(&self, record: &mut Record, error: CallerError) -> Step {
         let (code, ran, retry_after) = match error {
             CallerError::Refused { code, ran, retry_after, .. } => (Some(code), ran, retry_after),
@@ -171,7 +172,7 @@
         };
         let refused = code.is_some();
         if record.accepted {
-            // The node that served the request may be dead and its copy not yet taken over.
+            // The node that served the request may be gone and its copy not yet taken over.
             record.reconnects += 1;
             self.entries.expire();
             if code.as_deref() == Some("cancelled") || code.as_deref() == Some("deadline_passed") {
@@ -248,7 +249,7 @@
         record.planned + self.plan.patience <= self.started.elapsed()
     }
 
-    fn blank(&self, arrival: Arrival) -> Record {
+    fn new_record(&self, arrival: Arrival) -> Record {
         let class = match arrival.kind {
             Kind::Chat => self.plan.urgent.clone(),
             Kind::Patient => self.plan.patient.clone(),
--- a/crates/bench/src/policy/mod.rs
+++ b/crates/bench/src/policy/mod.rs
@@ -1,8 +1,9 @@
 //! Simulations of the policy's state machines under load and faults, in virtual time.
 //!
-//! Engines are the stand-in's state machines, nodes are [`bulrushhall_policy::Scheduler`]s, and the
-//! fleet is bought by a [`bulrushhall_policy::FleetPlanner`]. Nothing sleeps or reads a clock, so
-//! runs with the same seed give the same figures.
+//! Engines are the state machines of the simulated engine servers, nodes are
+//! [`bulrushhall_policy::Scheduler`]s, and the fleet is bought by a
+//! [`bulrushhall_policy::FleetPlanner`]. Nothing sleeps or reads a clock, so runs with the same
+//! seed give the same figures.
 
 mod cluster;
 mod deployment;
--- a/crates/bench/src/policy/workload.rs
+++ b/crates/bench/src/policy/workload.rs
@@ -37,7 +37,7 @@
     pub priority: u8,
     /// The prompt.
     pub prompt: String,
-    /// The number of words of the prompt; the stand-in counts each as a token.
+    /// The number of words of the prompt; the simulated engine counts each as a token.
     pub prompt_tokens: u32,
     /// The maximum number of tokens of the answer.
     pub max_tokens: u32,
--- a/crates/bench/src/reclaim/mod.rs
+++ b/crates/bench/src/reclaim/mod.rs
@@ -22,7 +22,7 @@
     Move,
 }
 
-/// A `ReclaimPlan` is the size of a simulated reclaim.
+/// A `ReclaimPlan` is the parameters of a simulated reclaim.
 #[derive(Clone, Debug)]
 pub struct ReclaimPlan {
     /// The seed of the prompts.
--- a/crates/bench/src/scenario/error.rs
+++ b/crates/bench/src/scenario/error.rs
@@ -11,7 +11,7 @@
     Missing(&'static str),
     /// An argument has a value that can't be parsed.
     Malformed(&'static str, String),
-    /// The command needs something that was not started, or that has no entry of that number.
+    /// The deployment, load, notice or server that the command needs does not exist.
     NotFound(&'static str),
     /// A condition was not met before its time limit.
     Timeout(&'static str),
--- a/crates/bench/src/scenario/runner.rs
+++ b/crates/bench/src/scenario/runner.rs
@@ -173,7 +173,8 @@
     }
 
     fn end_script(&mut self) -> Result<(), Box<dyn Error>> {
-        // The tasks of the stand-ins belong to the runtime, so the testbed is dropped inside it.
+        // The tasks of the simulated servers belong to the runtime, so the testbed is dropped
+        // inside it.
         let environment = self.environment.take();
         self.runtime.block_on(async { drop(environment) });
         Ok(())
--- a/crates/bench/src/scenario/watch.rs
+++ b/crates/bench/src/scenario/watch.rs
@@ -61,7 +61,8 @@
         state.accepted = newest.into_iter().collect();
     }
 
-    /// Checks that accepted revisions reach all nodes in time and never revert.
+    /// Checks that all nodes put accepted revisions in force in time and never revert to an earlier
+    /// one.
     pub fn judge(&self) -> Vec<Violation> {
         let state = lock(&self.state);
         spreads_and_never_reverts(&state.observations, &state.accepted, CONFIG_TIMEOUT)
--- a/crates/bench/src/soak.rs
+++ b/crates/bench/src/soak.rs
@@ -22,6 +22,9 @@
 const NODES: usize = 5;
 
 /// A `Fault` is a fault that is injected in a round.
+///
+/// A fault of the key-value service ends early if a later one of the round replaces it or
+/// [`Fault::Apply`] ends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A node is killed without notice.
@@ -160,8 +163,8 @@
                 engines[at].switches().set(Faults { frozen: true, ..Faults::default() });
             }
             Fault::Apply => {
-                // Ends the faults of the key-value service first: during an outage the operator, and
-                // so the round, would wait for its end.
+                // Ends the faults of the key-value service first: during an outage the operator,
+                // and so the round, would wait for its end.
                 environment.set_kv(Faults::default());
                 self.applied += 1;
                 environment.apply(&format!("class-{}", self.applied)).await.map(drop)?;
--- a/crates/bench/src/spread/checks.rs
+++ b/crates/bench/src/spread/checks.rs
@@ -1,4 +1,4 @@
-//! Checkers that find violations of the promises in a trace, one for each promise.
+//! Checkers that find violations of guarantees in a trace, one for each guarantee.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,7 +9,7 @@
 
 use crate::spread::TraceEvent;
 
-/// A `Violation` is a broken promise in a trace.
+/// A `Violation` is a violation of a guarantee in a trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A member reverted to an older revision.
--- a/crates/bench/src/spread/cluster.rs
+++ b/crates/bench/src/spread/cluster.rs
@@ -263,7 +263,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(index, incarnation) => self.tick(index, incarnation),
-            Event::Join(index, incarnation, pause) => self.join(index, incarnation, pause),
+            Event::Join(index, incarnation, interval) => self.join(index, incarnation, interval),
             Event::Work => self.send_work(),
             Event::Fetched { member, incarnation, revision } => {
                 if self.is_current(member, incarnation) {
@@ -309,7 +309,7 @@
 
     // As in the daemon, join messages are sent without end to seed addresses that belong to no
     // known member.
-    fn join(&mut self, index: usize, incarnation: Incarnation, pause: Duration) {
+    fn join(&mut self, index: usize, incarnation: Incarnation, interval: Duration) {
         if !self.is_current(index, incarnation) {
             return;
         }
@@ -322,8 +322,8 @@
             let gossip = self.members[index].membership.join_message();
             self.send(index, seed, gossip);
         }
-        let pause = if missing { (pause * 2).min(MAX_JOIN_INTERVAL) } else { JOIN_INTERVAL };
-        self.schedule(self.now + pause, Event::Join(index, incarnation, pause));
+        let interval = if missing { (interval * 2).min(MAX_JOIN_INTERVAL) } else { JOIN_INTERVAL };
+        self.schedule(self.now + interval, Event::Join(index, incarnation, interval));
     }
 
     // Each member traces its views of the others and sends work to one that it sees as not leaving.
--- a/crates/bench/src/spread/options.rs
+++ b/crates/bench/src/spread/options.rs
@@ -28,9 +28,9 @@
     pub shape: Shape,
     /// The share of messages and replies that are lost.
     pub loss: f64,
-    /// The one-way delay inside a region.
+    /// The shortest one-way delay inside a region; a message takes up to 1.5 times as long.
     pub near_delay: Duration,
-    /// The one-way delay between regions.
+    /// The shortest one-way delay between regions; a message takes up to 1.5 times as long.
     pub far_delay: Duration,
     /// The time for the membership to converge before the measurement.
     pub warm_up: Duration,
--- a/crates/bench/src/testbed/error.rs
+++ b/crates/bench/src/testbed/error.rs
@@ -17,7 +17,8 @@
     Config(ApplyError),
     /// A node could not be started.
     Node(Report<NodeError>),
-    /// The configuration was not in force on the nodes in time.
+    /// The configuration was not in force on the nodes in time, or the task that starts a node
+    /// panicked.
     Late,
 }
 
--- a/crates/bench/tests/member_spread.rs
+++ b/crates/bench/tests/member_spread.rs
@@ -30,7 +30,7 @@
 }
 
 // Control traffic above its bound takes bandwidth from callers' tokens, and a late change leaves
-// callers with a configuration that an operator has replaced. The counts are of fixed seeds.
+// callers with a configuration that an operator has replaced. The seeds are fixed.
 #[rstest]
 #[case(5, 0.0, 1)]
 #[case(5, 0.1, 2)]
--- a/crates/bench/tests/scenario_scripts.rs
+++ b/crates/bench/tests/scenario_scripts.rs
@@ -13,7 +13,8 @@
 use bulrushhall_bench::scenario::ScenarioRunner;
 use rstest::rstest;
 
-/// The environment variable that makes the test rewrite the scripts, as golden files have it.
+/// The environment variable that makes the test rewrite the scripts; it has the usual name for
+/// golden files.
 const UPDATE: &str = "UPDATE_GOLDENFILES";
 /// The maximum length of an entry in the list of known failures, in bytes.
 const MAX_ENTRY_BYTES: usize = 300;
