--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -98,9 +98,13 @@
         Caller { endpoint: Endpoint::new(address, options), team: team.into() }
     }
 
-    /// Returns a caller that abandons a request whose answer has not started within `silence`.
-    pub fn with_silence(address: SocketAddr, team: impl Into<String>, silence: Duration) -> Caller {
-        let options = EndpointOptions { response_timeout: silence, ..EndpointOptions::default() };
+    /// Returns a caller that abandons a request whose answer has not started within `timeout`.
+    pub fn with_response_timeout(
+        address: SocketAddr,
+        team: impl Into<String>,
+        timeout: Duration,
+    ) -> Caller {
+        let options = EndpointOptions { response_timeout: timeout, ..EndpointOptions::default() };
         Caller { endpoint: Endpoint::new(address, options), team: team.into() }
     }
 
--- a/crates/bench/src/load/entry_cache.rs
+++ b/crates/bench/src/load/entry_cache.rs
@@ -16,7 +16,7 @@
 /// An `EntryCache` is the list of entry points of one caller, with its connections to them.
 pub struct EntryCache {
     team: String,
-    silence: Duration,
+    response_timeout: Duration,
     seeds: Vec<SocketAddr>,
     state: Mutex<State>,
 }
@@ -30,8 +30,12 @@
 
 impl EntryCache {
     /// Returns an empty cache that is first filled from `seeds`.
-    pub fn new(team: impl Into<String>, seeds: Vec<SocketAddr>, silence: Duration) -> EntryCache {
-        EntryCache { team: team.into(), silence, seeds, state: Mutex::default() }
+    pub fn new(
+        team: impl Into<String>,
+        seeds: Vec<SocketAddr>,
+        response_timeout: Duration,
+    ) -> EntryCache {
+        EntryCache { team: team.into(), response_timeout, seeds, state: Mutex::default() }
     }
 
     /// Returns the addresses to try, best first; fetches the list again once it has expired.
@@ -66,7 +70,11 @@
     pub fn caller(&self, address: SocketAddr) -> Arc<Caller> {
         let mut state = self.lock();
         let caller = state.callers.entry(address).or_insert_with(|| {
-            Arc::new(Caller::with_silence(address, self.team.clone(), self.silence))
+            Arc::new(Caller::with_response_timeout(
+                address,
+                self.team.clone(),
+                self.response_timeout,
+            ))
         });
         Arc::clone(caller)
     }
--- a/crates/bench/src/load/plan.rs
+++ b/crates/bench/src/load/plan.rs
@@ -40,9 +40,9 @@
     /// The class of requests that can wait.
     pub patient: String,
     /// How long a caller waits on a silent connection before it tries another entry.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// How long after a request's arrival its caller abandons it.
-    pub patience: Duration,
+    pub time_limit: Duration,
     /// The maximum number of retries of a request that was not accepted.
     pub retries: u32,
 }
@@ -75,8 +75,8 @@
             service: LEDGER.to_owned(),
             urgent: "urgent".to_owned(),
             patient: "patient".to_owned(),
-            silence: Duration::from_secs(10),
-            patience: Duration::from_secs(90),
+            idle_timeout: Duration::from_secs(10),
+            time_limit: Duration::from_secs(90),
             retries: 5,
         }
     }
--- a/crates/bench/src/load/runner.rs
+++ b/crates/bench/src/load/runner.rs
@@ -39,7 +39,7 @@
             // Callers start at different entries, as if each were configured with a different one.
             let mut seeds = entries.clone();
             seeds.rotate_left(at % entries.len());
-            let cache = EntryCache::new(team.clone(), seeds, plan.silence);
+            let cache = EntryCache::new(team.clone(), seeds, plan.idle_timeout);
             callers.push(Arc::new(SimulatedCaller::new(team, cache, Arc::clone(&plan), started)));
         }
         Ok(Session { plan, callers, started, arrivals, open: JoinSet::new() })
--- a/crates/bench/src/load/simulated_caller.rs
+++ b/crates/bench/src/load/simulated_caller.rs
@@ -139,7 +139,7 @@
         if is_new && record.kind == Kind::Patient {
             return Step::Again(0, Duration::ZERO);
         }
-        match reader.read(answer, self.plan.silence).await {
+        match reader.read(answer, self.plan.idle_timeout).await {
             StreamEnd::Whole => {
                 record.ran = Ran::Yes;
                 Step::End(Outcome::Finished)
@@ -246,7 +246,7 @@
     }
 
     fn is_abandoned(&self, record: &Record) -> bool {
-        record.planned + self.plan.patience <= self.started.elapsed()
+        record.planned + self.plan.time_limit <= self.started.elapsed()
     }
 
     fn new_record(&self, arrival: Arrival) -> Record {
--- a/crates/bench/src/load/stream_reader.rs
+++ b/crates/bench/src/load/stream_reader.rs
@@ -71,12 +71,12 @@
 
 impl StreamReader {
     /// Reads the events of one connection until it ends.
-    pub async fn read(&mut self, answer: Response<Incoming>, silence: Duration) -> StreamEnd {
+    pub async fn read(&mut self, answer: Response<Incoming>, idle_timeout: Duration) -> StreamEnd {
         let mut events = BodyDataStream::new(answer.into_body()).eventsource();
         // A connection may stay silent forever without being closed. A caller that waited on it
         // would never receive the rest of its answer, so it abandons the connection after a
         // timeout.
-        while let Ok(Some(Ok(event))) = timeout(silence, events.next()).await {
+        while let Ok(Some(Ok(event))) = timeout(idle_timeout, events.next()).await {
             if event.data == "[DONE]" {
                 return StreamEnd::Whole;
             }
--- a/crates/bench/src/scenario/runner.rs
+++ b/crates/bench/src/scenario/runner.rs
@@ -212,8 +212,8 @@
         requests: keyed(args, "requests", 500)?,
         seed: keyed(args, "seed", 1)?,
         warm_up: Duration::ZERO,
-        silence: Duration::from_secs(4),
-        patience: Duration::from_secs(40),
+        idle_timeout: Duration::from_secs(4),
+        time_limit: Duration::from_secs(40),
         retries: keyed(args, "retries", 20)?,
         ..Plan::default()
     })
--- a/crates/bench/src/soak.rs
+++ b/crates/bench/src/soak.rs
@@ -129,8 +129,8 @@
             length: ROUND,
             warm_up: Duration::ZERO,
             seed: self.seed * 1_000 + self.number,
-            silence: Duration::from_secs(4),
-            patience: Duration::from_secs(40),
+            idle_timeout: Duration::from_secs(4),
+            time_limit: Duration::from_secs(40),
             retries: 20,
             ..Plan::default()
         }
