--- a/crates/bench/src/scenario/runner.rs
+++ b/crates/bench/src/scenario/runner.rs
@@ -173,7 +173,8 @@
     }
 
     fn end_script(&mut self) -> Result<(), Box<dyn Error>> {
-        // The tasks of the stand-ins belong to the runtime, so the testbed is dropped inside it.
+        // The tasks of the simulated servers belong to the runtime, so the testbed is dropped
+        // inside it.
         let environment = self.environment.take();
         self.runtime.block_on(async { drop(environment) });
         Ok(())
@@ -211,8 +212,8 @@
         requests: keyed(args, "requests", 500)?,
         seed: keyed(args, "seed", 1)?,
         warm_up: Duration::ZERO,
-        silence: Duration::from_secs(4),
-        patience: Duration::from_secs(40),
+        idle_timeout: Duration::from_secs(4),
+        time_limit: Duration::from_secs(40),
         retries: keyed(args, "retries", 20)?,
         ..Plan::default()
     })
