--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,11 +1,11 @@
 //! `bulrush demo`: runs a whole deployment with stand-ins in one process.
 
 mod error;
+mod fault_run;
 mod options;
 mod outcome;
 mod sampler;
 mod serve;
-mod show;
 
 use std::{
     io::{self, Write},
@@ -40,7 +40,7 @@
         runtime.block_on(serve::serve(options))?;
         return Ok(ExitStatus::Done);
     }
-    let outcome = runtime.block_on(show::run_with_faults(options))?;
+    let outcome = runtime.block_on(fault_run::run_with_faults(options))?;
     outcome.print(options)?;
     Ok(if outcome.violations.is_empty() { ExitStatus::Done } else { ExitStatus::Failed })
 }
