--- a/crates/cli/src/changes.rs
+++ b/crates/cli/src/changes.rs
@@ -8,7 +8,7 @@
 };
 use serde::Serialize;
 
-/// A `Change` is one value that differs between two configurations.
+/// A `Change` is one value or section that differs between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Change {
     /// The header of the section.
--- a/crates/cli/tests/page_commands.rs
+++ b/crates/cli/tests/page_commands.rs
@@ -95,8 +95,8 @@
     ];
     assert_eq!(commands[..expected.len()], expected);
     let ci = read(".ci/run");
-    assert!(ci.contains("cargo test --workspace"), "the tests");
-    assert!(ci.contains("--bin bulrush -- demo"), "the main job");
+    assert!(ci.contains("cargo test --workspace"), ".ci/run runs the workspace's tests");
+    assert!(ci.contains("--bin bulrush -- demo"), ".ci/run runs the demo");
 
     let directory = std::env::temp_dir().join(format!("bulrush-readme-{}", std::process::id()));
     fs::create_dir_all(&directory).expect("a directory");
--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -19,7 +19,7 @@
 
 use crate::{reply, running_server::RunningServer, switches::Switches};
 
-/// A `MachineEvent` reports a started or removed VM to the code that runs the VMs.
+/// A `MachineEvent` reports a purchased or removed VM to the code that runs the VMs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MachineEvent {
     /// A VM was purchased and must be started.
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -305,7 +305,7 @@
     }
 }
 
-/// Cancels a request when the reader of its response disconnects.
+/// A `CancelGuard` cancels a request when the reader of its response disconnects.
 struct CancelGuard {
     shared: Arc<Shared>,
     request: RequestId,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,4 +1,5 @@
-//! Simulated platform services and backend servers for tests, over HTTP and with fault injection.
+//! Simulated platform services and backend servers for tests and the demo, over HTTP and with fault
+//! injection.
 
 pub mod bandwidth;
 pub mod cloud;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -23,7 +23,7 @@
 pub struct LinkState {
     /// The delay in each direction.
     pub delay: Duration,
-    /// Whether new connections are refused.
+    /// Whether new connections are refused, by closing them as soon as they are accepted.
     pub refusing: bool,
     /// The number of blackholes so far; connections opened before the last one forward no data.
     pub blackholes: u64,
@@ -172,7 +172,7 @@
     state.wait_for(|state| state.blackholes != blackholes_at_open).await.is_ok()
 }
 
-// Both halves stay open, so neither peer can detect that no data is forwarded.
+// Both halves stay open, so neither peer sees the connection close although no data is forwarded.
 async fn hold_open(from: OwnedReadHalf, to: OwnedWriteHalf) {
     let _held = (from, to);
     std::future::pending::<()>().await;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -28,7 +28,7 @@
     runs: Mutex<BTreeMap<String, u32>>,
 }
 
-/// `ServiceCounts` are the executions of a plain service.
+/// `ServiceCounts` count the executions of a plain service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCounts {
     /// The number of executions of each idempotency key.
--- a/operators/python/bulrushhall/sections.py
+++ b/operators/python/bulrushhall/sections.py
@@ -12,7 +12,8 @@
 from .units import Rate, duration_text, price_text, size_text
 
 
-# Keys that can't be field names, since `type` and `kind` mean something else in a section class.
+# Maps fields to keys that can't be field names, since `type` and `kind` mean something else in a
+# section class.
 KEY_NAMES = {"service_type": "type", "route_kind": "kind"}
 
 
